--- a/src/main/java/org/weldcourse/admission/Job.java
+++ b/src/main/java/org/weldcourse/admission/Job.java
@@ -15,6 +15,11 @@
     public final BitSet done = new BitSet();
     /** Finished tasks that the state service holds; only these may be forgotten by their workers. */
     public final BitSet savedDone = new BitSet();
+    /**
+     * Finished tasks that stand only in admissions, where a version with larger records kept them: the next admission would
+     * be written without them.
+     */
+    public final BitSet doneInAdmissions = new BitSet();
     /** Neither finished nor booked. */
     public final BitSet pending = new BitSet();
     public final Int2ObjectHashMap<Booking> bookings = new Int2ObjectHashMap<>();
@@ -53,6 +58,11 @@
         return savedDone.cardinality() != done.cardinality();
     }
 
+    /** Whether finished tasks have to be put on record elsewhere before the job may be admitted anew. */
+    public boolean mustMoveDone() {
+        return !doneInAdmissions.isEmpty();
+    }
+
     /** Whether a worker may be told to forget this attempt: no leader would ever run it again. */
     public boolean mayForget(int task, int attempt) {
         if (closed || savedDone.get(task)) {
@@ -64,7 +74,7 @@
 
     /** A gang may only be booked anew once nothing of its last attempt is left anywhere. */
     public boolean canBeBooked(long nowMicros) {
-        return !cancelled && !recording && !closing && !closed && !stale && !pending.isEmpty() && nowMicros >= notBeforeMicros
-                && (!spec.gang() || bookings.isEmpty());
+        return !cancelled && !recording && !closing && !closed && !stale && !mustMoveDone() && !pending.isEmpty()
+                && nowMicros >= notBeforeMicros && (!spec.gang() || bookings.isEmpty());
     }
 }
--- a/src/main/java/org/weldcourse/admission/Recorder.java
+++ b/src/main/java/org/weldcourse/admission/Recorder.java
@@ -290,8 +290,11 @@
      * successor hears of them from the workers too, as long as those were not told to forget them.
      */
     public void saveDone(Job job) {
-        if (job.recording || !job.hasUnsavedDone() || clock.nowMicros() - job.savedMicros < SAVE_DONE_MICROS
-                || !mayWriteInBackground()) {
+        if (job.recording || !job.hasUnsavedDone() || !mayWriteInBackground()) {
+            return;
+        }
+        // Until a job's finished tasks have moved to shards it may not be admitted anew, so those do not wait.
+        if (!job.mustMoveDone() && clock.nowMicros() - job.savedMicros < SAVE_DONE_MICROS) {
             return;
         }
         Admitted then = onRecord -> {
@@ -320,6 +323,14 @@
         }
     }
 
+    /**
+     * Whether versions that know of no lower limits read a job's shards: its tasks are divided as they would divide
+     * them, or all lie in the first shard, which begins at the first task however large it is.
+     */
+    private boolean hasPlainShards(Job job) {
+        return shardTasks == plainShardTasks || job.spec.tasks() <= shardTasks;
+    }
+
     private void saveShards(Job job, Admitted then) {
         BitSet saving = (BitSet) job.done.clone();
         int writing = ++job.writings;
@@ -333,7 +344,7 @@
                 saving.clear(from, to);
                 continue;
             }
-            boolean plain = shardTasks == plainShardTasks;
+            boolean plain = hasPlainShards(job);
             String key = Keys.doneTasks(job.spec.id(), plain ? shard : FINE_SHARD + shard);
             keys.add(key);
             txn.guard(key, job.records.getOrDefault(key, 0L))
@@ -343,28 +354,40 @@
         put(job, txn, keys, writing, onRecord -> {
             if (onRecord) {
                 job.savedDone.or(saving);
+                job.doneInAdmissions.andNot(saving);
             }
             then.accept(onRecord);
         });
     }
 
-    /** Reads a record of finished tasks back into the job: {@code from} is the first task that it speaks of. */
-    private static void restoreDone(Job job, Map<String, Object> record, int from) {
-        BitSet bits = SliceCodec.done(record);
-        for (int bit = bits.nextSetBit(0); bit >= 0 && from + bit < job.spec.tasks(); bit = bits.nextSetBit(bit + 1)) {
-            job.done.set(from + bit);
-            job.savedDone.set(from + bit);
-            job.pending.clear(from + bit);
-        }
-    }
-
     /** Reads a record under {@code slices/} or {@code done/} back into the job, but for what it says is admitted. */
     public void restore(Job job, Store.Entry entry) {
         job.records.put(entry.key(), entry.version());
         job.writings = Math.max(job.writings, SliceCodec.writing(entry.value()));
         job.lastAttempt = Math.max(job.lastAttempt, SliceCodec.lastAttempt(entry.value()));
-        restoreDone(job, entry.value(), entry.key().startsWith(Keys.DONE_TASKS)
-                ? (int) Json.integer(entry.value(), "from", (long) Keys.numberOf(entry.key()) * plainShardTasks) : 0);
+        boolean isShard = entry.key().startsWith(Keys.DONE_TASKS);
+        int from = isShard
+                ? (int) Json.integer(entry.value(), "from", (long) Keys.numberOf(entry.key()) * plainShardTasks) : 0;
+        restoreDone(job, entry.value(), from, isShard || keepsDone(job));
+    }
+
+    /**
+     * Reads finished tasks back into the job: {@code from} is the first task that the record speaks of. Admissions of a
+     * job whose finished tasks are kept in shards are written without them. So what a version with larger records left
+     * in an admission counts as unsaved, until it stands in a shard.
+     */
+    private static void restoreDone(Job job, Map<String, Object> record, int from, boolean staysOnRecord) {
+        BitSet bits = SliceCodec.done(record);
+        for (int bit = bits.nextSetBit(0); bit >= 0 && from + bit < job.spec.tasks(); bit = bits.nextSetBit(bit + 1)) {
+            job.done.set(from + bit);
+            job.pending.clear(from + bit);
+            if (staysOnRecord) {
+                job.savedDone.set(from + bit);
+                job.doneInAdmissions.clear(from + bit);
+            } else if (!job.savedDone.get(from + bit)) {
+                job.doneInAdmissions.set(from + bit);
+            }
+        }
     }
 
     /** Moves a job that is over to its final record; the rest of its records follow in their own time. */
--- a/src/test/java/org/weldcourse/app/UpgradeTest.java
+++ b/src/test/java/org/weldcourse/app/UpgradeTest.java
@@ -189,6 +189,57 @@
         assertTrue(world.starts.values().stream().allMatch(count -> count == 1), "none ran again");
     }
 
+    /**
+     * Production keeps the finished tasks of a job of this size in its admissions, as its records may be larger. Under the
+     * lower limits they belong in shards, and the next admission is written without them.
+     */
+    @ParameterizedTest
+    @ValueSource(doubles = {0, 2, 6, 25})
+    void finishedTasksInProductionsAdmissionsSurviveTheNextAdmissions(double leaderEndsAfter) {
+        int tasks = 1_200;
+        World world = world(4096, 8, new Settings.NextState(50, 512, 4));
+        Map<String, Object> body = jobBody("req-000001", "beads", tasks, "cpus", 0.1, "mem_gb", 0.1);
+        BitSet finished = new BitSet();
+        finished.set(0, 700);
+        world.adopt(body, finished);
+        plantOpen(world, body);
+        world.state.plant("slices/req-000001/0", Json.of("last", 3, "n", 7, "machines", Map.of(), "bits",
+                Base64.getEncoder().encodeToString(finished.toByteArray())));
+        for (int i = 0; i < 2; i++) {
+            world.cloud.unexpected("large", "a", false);
+        }
+        world.state.limit(4, 512);
+        world.runMicros.put("req-000001", 20_000_000L);
+        world.time.passSeconds(leaderEndsAfter);
+        world.killNode(world.nodes().get(0));
+        world.time.passSeconds(20);
+        BitSet onRecord = finishedAsProductionReads(world, "req-000001", tasks, 4096);
+        onRecord.and(finished);
+        assertEquals(700, onRecord.cardinality(), "nothing finished is lost from the records");
+        assertTrue(world.reaches("n1", "req-000001", "done", 300));
+        assertEquals(tasks - 700, world.starts.size(), "what was finished before did not run again");
+    }
+
+    @Test
+    void shardsOfJobsThatFitOneAreReadByProductionToo() {
+        int tasks = 1_200;
+        World world = world(4096, 8, new Settings.NextState(50, 512, 4));
+        world.time.passSeconds(2);
+        for (int i = 0; i < 4; i++) {
+            world.cloud.unexpected("large", "a", false);
+        }
+        world.time.passSeconds(6);
+        for (int task = 0; task < tasks; task++) {
+            world.runMicros.put("req-000001/" + task, task % 2 == 0 ? 1_000_000L : 50_000_000L);
+        }
+        world.submit("n0", jobBody("req-000001", "beads", tasks, "cpus", 0.04, "mem_gb", 0.02));
+        world.time.passSeconds(30);
+        assertEquals(List.of("done/req-000001/0"), world.state.keys("done/"));
+        BitSet read = finishedAsProductionReads(world, "req-000001", tasks, 4096);
+        assertTrue(read.cardinality() > 300, "finished as production reads: " + read.cardinality());
+        read.stream().forEach(task -> assertTrue(world.hasCompleted("req-000001/" + task), "task " + task));
+    }
+
     @Test
     void aJobTooLargeToBeKeptIsRefusedAtOnceAndAKnownOneKeepsItsAnswer() {
         World world = world(4096, 8, new Settings.NextState(50, 1024, 4));
