--- a/src/test/java/org/weldcourse/app/UpgradeTest.java
+++ b/src/test/java/org/weldcourse/app/UpgradeTest.java
@@ -11,6 +11,7 @@
 import java.util.HexFormat;
 import java.util.List;
 import java.util.Map;
+import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -30,11 +31,23 @@
     private static final List<Settings.Team> TEAMS = List.of(new Settings.Team("core", 0, 0, 0, 0));
 
     private static Map<String, Object> production() throws Exception {
-        try (var in = UpgradeTest.class.getResourceAsStream("/production/records.json")) {
+        return fixture("/production/records.json");
+    }
+
+    private static Map<String, Object> fixture(String name) throws Exception {
+        try (var in = UpgradeTest.class.getResourceAsStream(name)) {
             return Json.object(Json.parse(in.readAllBytes()));
         }
     }
 
+    private static void plant(World world, Map<String, Object> records) {
+        records.forEach((key, value) -> {
+            if (key.contains("/") || key.equals("types")) {
+                world.state.plant(key, value);
+            }
+        });
+    }
+
     private static World world(int valueBytes, int txnOps, Settings.NextState next) {
         return new World(2, txnOps, valueBytes, TEAMS, List.of(), next);
     }
@@ -77,11 +90,7 @@
         assertTrue(large.cardinality() > 1000);
         world.adopt(Json.object(records.get("open/req-000001")), small);
         world.adopt(Json.object(records.get("open/req-000002")), large);
-        records.forEach((key, value) -> {
-            if (key.contains("/") || key.equals("types")) {
-                world.state.plant(key, value);
-            }
-        });
+        plant(world, records);
         if (limitsLowered) {
             world.state.limit(4, 2048);
         }
@@ -101,6 +110,63 @@
         assertEquals(List.of(), world.state.keys("done/"));
     }
 
+    /** The tasks of a job that a fixture's records call finished: shards say where they begin. */
+    private static BitSet finishedIn(Map<String, Object> records, String id) {
+        BitSet finished = new BitSet();
+        records.forEach((key, value) -> {
+            if (key.startsWith("slices/" + id + "/") || key.startsWith("done/" + id + "/")) {
+                Map<String, Object> record = Json.object(value);
+                int from = (int) Json.integer(record, "from", 0);
+                String bits = Json.text(record, "bits");
+                BitSet.valueOf(Base64.getDecoder().decode(bits == null ? "" : bits)).stream()
+                        .forEach(bit -> finished.set(from + bit));
+            }
+        });
+        return finished;
+    }
+
+    /**
+     * {@code version-0.2.0/records.json} was written by the first version with services, limits lowered ahead of time:
+     * a service, admissions divided over two records and shards that say where they begin. See RecordCapture.
+     */
+    @ParameterizedTest
+    @ValueSource(booleans = {false, true})
+    void recordsOfTheFirstVersionWithServicesAreTakenOver(boolean leaderEnds) throws Exception {
+        World world = world(4096, 8, new Settings.NextState(50, 2048, 4));
+        Map<String, Object> records = fixture("/version-0.2.0/records.json");
+        Map<String, BitSet> finished = new TreeMap<>();
+        for (String id : List.of("req-000001", "req-000002", "req-000005", "req-000006")) {
+            finished.put(id, finishedIn(records, id));
+            world.adopt(Json.object(records.get("open/" + id)), finished.get(id));
+            world.runMicros.put(id, 3_000_000L);
+        }
+        assertEquals(List.of(1, 6500, 0, 600), finished.values().stream().map(BitSet::cardinality).toList());
+        world.runMicros.put("req-000005", Long.MAX_VALUE);
+        plant(world, records);
+        world.cloud.numberMachinesFrom(100);
+        world.state.limit(4, 2048);
+        world.time.passSeconds(leaderEnds ? 25 : 40);
+        if (leaderEnds) {
+            world.killNode(world.leader());
+            world.time.passSeconds(30);
+        }
+        String node = world.alive().get(0);
+        assertEquals("running", world.poll(node, "req-000005").state());
+        for (int replica = 0; replica < 4; replica++) {
+            assertTrue(world.whereIs("req-000005/" + replica) != null, "replica " + replica + " runs again elsewhere");
+        }
+        for (String id : List.of("req-000001", "req-000002", "req-000006")) {
+            assertTrue(world.reaches(node, id, "done", 400), id);
+            long again = finished.get(id).stream().filter(task -> world.starts.containsKey(id + "/" + task)).count();
+            assertEquals(0, again, "finished tasks of " + id + " that ran again");
+        }
+        assertEquals("cancelled", world.withdraw(node, "req-000005").state());
+        world.time.passSeconds(40);
+        assertEquals(0, world.runningTasks());
+        assertEquals(List.of(), world.state.keys("slices/"));
+        assertEquals(List.of(), world.state.keys("done/"));
+    }
+
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2, 3, 5, 8, 10, 13})
     void limitsAreLoweredBetweenAnyTwoCommits(int commits) {
--- a/src/test/java/org/weldcourse/rehearsal/FakeCloud.java
+++ b/src/test/java/org/weldcourse/rehearsal/FakeCloud.java
@@ -47,6 +47,11 @@
     }
 
     /** How many calls it refused while it was down. */
+    /** Numbers new machines from here on: those with lower numbers belong to an earlier day. */
+    public void numberMachinesFrom(int number) {
+        made = number;
+    }
+
     public int refused() {
         return refused;
     }
--- /dev/null
+++ b/src/test/java/org/weldcourse/rehearsal/RecordCapture.java
@@ -0,0 +1,78 @@
+package org.weldcourse.rehearsal;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import org.weldcourse.http.Json;
+import org.weldcourse.settings.Settings;
+
+/**
+ * Writes what this version leaves in the state service in the middle of a day, as a fixture for the upgrade tests of later
+ * versions. To capture an earlier version, copy this file into a checkout of its commit and run there:
+ *
+ * <pre>
+ * mvn -q -DskipTests package
+ * java -cp 'target/classes:target/test-classes:target/lib/*' org.weldcourse.rehearsal.RecordCapture records.json
+ * </pre>
+ *
+ * Values may be 4 KiB with 8 changes a transaction, and 2 KiB with 4 changes later on.
+ */
+public final class RecordCapture {
+    private static final String SMALL_ARRAY = "req-000001";
+    private static final String LARGE_ARRAY = "req-000002";
+    private static final String DONE_JOB = "req-000003";
+    private static final String CANCELLED_JOB = "req-000004";
+    private static final String SERVICE = "req-000005";
+    private static final String SCATTERED_ARRAY = "req-000006";
+    private static final int LARGE_ARRAY_TASKS = 14_000;
+    private static final int SCATTERED_ARRAY_TASKS = 1_200;
+
+    private RecordCapture() {}
+
+    public static void main(String[] arguments) throws IOException {
+        World world = new World(
+                2, 8, 4096, List.of(new Settings.Team("core", 0, 0, 0, 0)), List.of(), new Settings.NextState(50, 2048, 4));
+        world.time.passSeconds(2);
+        for (int i = 0; i < 12; i++) {
+            world.cloud.unexpected("large", i % 2 == 0 ? "a" : "b", false);
+        }
+        world.time.passSeconds(7);
+        submitJobs(world);
+        world.time.passSeconds(50);
+        Map<String, Object> records = new TreeMap<>();
+        for (String key : world.state.keys("")) {
+            records.put(key, world.state.value(key));
+        }
+        Files.write(Path.of(arguments[0]), Json.bytes(records));
+        System.exit(0);
+    }
+
+    private static void submitJobs(World world) {
+        submit(world, SERVICE, 1e6, "shape", "service", "rank", "prod", "cpus", 1.0, "apart", true, "expected_s", 0.0);
+        submit(world, DONE_JOB, 2, "beads", 2);
+        submit(world, CANCELLED_JOB, 300, "beads", 2);
+        world.runMicros.put(SMALL_ARRAY + "/0", 3_000_000L);
+        submit(world, SMALL_ARRAY, 300, "beads", 4);
+        world.withdraw("n0", CANCELLED_JOB);
+        for (int task = 0; task < LARGE_ARRAY_TASKS; task++) {
+            long runMicros = task < 13_000 && task % 2 == 0 ? 1_000_000L : 300_000_000L;
+            world.runMicros.put(LARGE_ARRAY + "/" + task, runMicros);
+        }
+        submit(world, LARGE_ARRAY, 300, "beads", LARGE_ARRAY_TASKS, "cpus", 0.005, "mem_gb", 0.005);
+        for (int task = 0; task < SCATTERED_ARRAY_TASKS; task++) {
+            world.runMicros.put(SCATTERED_ARRAY + "/" + task, task % 2 == 0 ? 6_000_000L : 300_000_000L);
+        }
+        submit(world, SCATTERED_ARRAY, 300, "beads", SCATTERED_ARRAY_TASKS, "cpus", 0.01, "mem_gb", 0.01);
+    }
+
+    private static void submit(World world, String id, double runSeconds, Object... changes) {
+        world.runMicros.put(id, Math.round(runSeconds * 1e6));
+        int status = world.submit("n0", World.jobBody(id, changes)).status();
+        if (status != 201) {
+            throw new IllegalStateException(id + " got " + status);
+        }
+    }
+}
