--- a/src/main/java/org/weldcourse/admission/Machine.java
+++ b/src/main/java/org/weldcourse/admission/Machine.java
@@ -33,6 +33,8 @@
     public boolean released;
     public boolean releasing;
     public boolean failed;
+    /** By the cloud's word, which lags. */
+    public boolean starting;
     public long idleSinceMicros;
     /** Answers in a row that its next report showed not to have arrived, and since when. */
     private int lostAnswers;
--- a/src/main/java/org/weldcourse/fleet/FleetKeeper.java
+++ b/src/main/java/org/weldcourse/fleet/FleetKeeper.java
@@ -36,6 +36,12 @@
     private static final int MOST_PER_REQUEST = 50;
     private static final int MOST_NEW_AT_ONCE = 200;
     private static final int JOBS_TO_BLAME_MACHINE = 2;
+    /** After an election workers need a report to find the new leader and one more under its token. */
+    private static final int TAKE_OVER_REPORTS = 2;
+    /** And some time to notice that their old connection is dead. */
+    private static final long TAKE_OVER_RECONNECT_MICROS = 4_000_000;
+    /** Machines that died with the old leader are never heard of: a new one does not wait for the last of them. */
+    private static final double TAKE_OVER_UNHEARD_SHARE = 0.1;
 
     private final Board board;
     private final Cloud cloud;
@@ -63,6 +69,7 @@
     private boolean releaseInFlight;
     private boolean hearsMost = true;
     private boolean listInFlight;
+    private boolean hasListed;
 
     /** The term that the fleet is kept for. */
     public interface Office {
@@ -215,6 +222,7 @@
             if (listed == null || !isRunning()) {
                 return;
             }
+            hasListed = true;
             for (Cloud.Listed item : listed) {
                 adopt(item, clock.nowMicros());
             }
@@ -235,10 +243,11 @@
         machine.spot = item.spot();
         machine.sinceMicros = Math.min(machine.sinceMicros, nowMicros - item.ageMicros());
         machine.failed |= item.failed();
+        machine.starting = item.starting();
     }
 
     private void rent(long nowMicros) {
-        if (rentalsInFlight > 0) {
+        if (rentalsInFlight > 0 || isTakingOver(nowMicros)) {
             return;
         }
         refusedUntil.values().removeIf(until -> until <= nowMicros);
@@ -266,6 +275,28 @@
         }
     }
 
+    /**
+     * A new leader can't count on machines before they have reported to it. Until most have, it would rent for all waiting
+     * work once more, beside the machines that run it already.
+     */
+    private boolean isTakingOver(long nowMicros) {
+        long takeOverMicros = TAKE_OVER_REPORTS * settings.workers().reportMicros() + TAKE_OVER_RECONNECT_MICROS;
+        if (nowMicros - startedMicros > takeOverMicros) {
+            return false;
+        }
+        int heard = 0;
+        int unheard = 0;
+        for (Machine machine : board.machines.values()) {
+            heard += machine.isUp() ? 1 : 0;
+            unheard += machine.isUp() || isBooting(machine, nowMicros) ? 0 : 1;
+        }
+        return !hasListed || unheard > TAKE_OVER_UNHEARD_SHARE * (heard + unheard);
+    }
+
+    private static boolean isBooting(Machine machine, long nowMicros) {
+        return machine.starting && machine.bookings.isEmpty() && !overdue(machine, nowMicros);
+    }
+
     private FleetPlanner.Host host(Machine machine, boolean booting, long nowMicros) {
         long availableAtMicros = booting
                 ? Math.max(nowMicros + 5_000_000, machine.sinceMicros + machine.type.bootMicros()) : nowMicros;
@@ -297,6 +328,7 @@
                         machine.type = types.byName(offer.type());
                         machine.zone = offer.zone();
                         machine.spot = offer.spot();
+                        machine.starting = true;
                     }
                     LOG.info("rented {} of {} {} in {}{}", rental.machines().size(), count, offer.type(),
                             offer.zone(), offer.spot() ? ", spot" : "");
--- /dev/null
+++ b/src/test/java/org/weldcourse/app/FleetTest.java
@@ -0,0 +1,31 @@
+package org.weldcourse.app;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+import static org.weldcourse.rehearsal.World.jobBody;
+
+import org.junit.jupiter.api.Test;
+import org.weldcourse.rehearsal.World;
+
+/** What a leader rents and returns, on whole controllers. */
+class FleetTest {
+    /** Until the workers have reported to it, a new leader sees machines of unknown size that it can't count on. */
+    @Test
+    void newLeaderDoesNotRentAgainForWorkThatRuns() {
+        World world = new World(3);
+        world.time.passSeconds(2);
+        for (int job = 0; job < 8; job++) {
+            String id = String.format("req-%06d", job + 1);
+            world.runMicros.put(id, 8_000_000L);
+            assertEquals(201, world.submit("n0", jobBody(id, "beads", 40)).status());
+        }
+        world.time.passSeconds(14);
+        int running = world.runningTasks();
+        assertTrue(running >= 20, "running: " + running);
+        int made = world.cloud.made();
+        world.killNode(world.leader());
+        world.time.passSeconds(9);
+        assertTrue(world.runningTasks() >= running / 2);
+        assertTrue(world.cloud.made() <= made + 2, "rented anew: " + (world.cloud.made() - made));
+    }
+}
--- a/src/test/java/org/weldcourse/rehearsal/FakeCloud.java
+++ b/src/test/java/org/weldcourse/rehearsal/FakeCloud.java
@@ -23,6 +23,7 @@
     private final TreeMap<String, Rented> machines = new TreeMap<>();
     private final Set<String> running = new HashSet<>();
     private final Map<String, List<String>> requests = new HashMap<>();
+    private final Map<String, Long> rentedMicros = new HashMap<>();
     private int made;
     private boolean down;
     private boolean nonsense;
@@ -56,6 +57,11 @@
         return refused;
     }
 
+    /** How many machines there were in all, those that are gone among them. */
+    public int made() {
+        return made;
+    }
+
     public Set<String> machines() {
         return new HashSet<>(machines.keySet());
     }
@@ -69,6 +75,7 @@
         String name = String.format("m-%06d", made++);
         Rented rented = new Rented(name, type, zone, spot);
         machines.put(name, rented);
+        rentedMicros.put(name, time.nowMicros());
         time.after(bootMicros, () -> {
             if (machines.containsKey(name)) {
                 running.add(name);
@@ -142,7 +149,7 @@
         for (Rented rented : machines.values()) {
             forges.add(Json.of("name_id", rented.name, "addr", FakeWorker.address(rented.name), "rig", rented.type,
                     "yard", rented.zone, "loaners", rented.spot,
-                    "heat", running.contains(rented.name) ? "running" : "starting", "held_s", 1.0));
+                    "heat", running.contains(rented.name) ? "running" : "starting", "held_s", (time.nowMicros() - rentedMicros.get(rented.name)) / 1e6));
         }
         reply.send(200, Json.of("forges", forges, "has_next", false));
     }
