--- a/src/test/java/org/weldcourse/app/MeetingsTest.java
+++ b/src/test/java/org/weldcourse/app/MeetingsTest.java
@@ -28,8 +28,14 @@
 
 /** Troubles that meet. The world fails a test in which a rule breaks; each test makes sure that its trouble came about. */
 class MeetingsTest {
+    /** Whether jobs of a script that name no shape are submitted as services instead of arrays: see ServiceMeetingsTest. */
+    protected boolean arraysAreServices() {
+        return false;
+    }
+
     /** A day of work: what was submitted, what was cancelled, and that all of it comes to its end. */
-    private static final class Day {
+    private final class Day {
+        final Set<String> services = new HashSet<>();
         final World world;
         final Map<String, Map<String, Object>> bodies = new LinkedHashMap<>();
         final Set<String> cancelled = new HashSet<>();
@@ -41,8 +47,14 @@
 
         String submit(double runSeconds, Object... changes) {
             String id = String.format("req-%06d", bodies.size() + 1);
-            world.runMicros.put(id, runSeconds == FOREVER ? Long.MAX_VALUE : Math.round(runSeconds * 1e6));
             Map<String, Object> body = jobBody(id, changes);
+            if (arraysAreServices() && !List.of(changes).contains("shape")) {
+                services.add(id);
+                body.put("shape", "service");
+                body.put("expected_s", 0.0);
+            }
+            boolean endless = runSeconds == FOREVER || services.contains(id);
+            world.runMicros.put(id, endless ? Long.MAX_VALUE : Math.round(runSeconds * 1e6));
             bodies.put(id, body);
             for (int i = 0; i < 120; i++) {
                 int status = world.submit(node(i), body).status();
@@ -141,8 +153,23 @@
             return Json.integer(world.state.value("epoch"), "epoch", 0);
         }
 
+        /** All replicas that the service's team has room for run within the time. */
+        private void servesAgain(String id, double seconds) {
+            world.cloud.capacity = 100;
+            for (int i = 0; i < seconds * 10 && tasksOf(id).size() < tasks(id); i++) {
+                world.time.pass(100_000);
+            }
+            assertEquals(tasks(id), tasksOf(id).size(), "replicas of " + id);
+        }
+
         /** Every job is over within the time, all nodes say the same of it, and nothing of it is left anywhere. */
         void endsWell(double seconds) {
+            for (String id : services) {
+                if (!cancelled.contains(id)) {
+                    servesAgain(id, seconds);
+                }
+            }
+            services.stream().filter(id -> !cancelled.contains(id)).toList().forEach(this::cancel);
             for (String id : bodies.keySet()) {
                 String state = cancelled.contains(id) ? "cancelled" : "done";
                 boolean over = world.reaches(node(0), id, state, seconds);
@@ -351,7 +378,7 @@
     void machineThatIsToGoWhileTheCloudIsDownHaltsWhatIsCancelled() {
         Day day = new Day(1);
         String cancelled = day.running(FOREVER, "beads", 1);
-        String finishes = day.running(40, "beads", 1);
+        String finishes = day.running(40, "shape", "array", "beads", 1);
         World world = day.world;
         world.cloud.down(true);
         String machine = day.machinesOf(cancelled).iterator().next();
@@ -381,11 +408,15 @@
         World world = day.world;
         world.cloud.unexpected("large", "a", false);
         world.cloud.unexpected("large", "b", false);
+        if (arraysAreServices()) {
+            // Its replicas take two machines.
+            world.cloud.unexpected("large", "a", false);
+        }
         world.time.passSeconds(7);
         // The team's limit is 8 CPUs: four tasks.
         String first = day.running(FOREVER, "crew", "capped");
         Set<String> machines = day.machinesOf(first);
-        assertEquals(1, machines.size(), "there is room on the other machine");
+        assertEquals(world.workers.size() - 1, machines.size(), "there is room on the other machine");
         machines.forEach(machine -> trouble(world, machine, trouble));
         world.cloud.down(true);
         day.killLeader();
@@ -469,7 +500,7 @@
     void oldReportsReachEveryControllerAroundANewLeader(boolean sessionsEnd) {
         Day day = new Day(3);
         World world = day.world;
-        String ends = day.submit(4);
+        String ends = day.submit(4, "shape", "array");
         assertTrue(world.reaches("n0", ends, "done", 60));
         String runs = day.running(40);
         FakeWorker worker = world.whereIs(runs + "/0");
@@ -685,8 +716,9 @@
     }
 
     /** Work of all kinds: more than one team's limit, gangs, one zone, tasks that end far apart. */
-    private static void bustle(Day day) {
-        day.submit(30, "crew", "capped", "beads", 10);
+    private void bustle(Day day) {
+        // A service has to fit the team's limit of 8 CPUs as a whole.
+        day.submit(30, "crew", "capped", "beads", arraysAreServices() ? 4 : 10);
         day.submit(12, "shape", "ensemble", "rank", "urgent", "beads", 3, "cpus", 4.0, "together", true);
         day.submit(25, "beads", 6, "together", true);
         String far = day.submit(20, "beads", 3);
