--- a/src/main/java/org/weldcourse/admission/Recorder.java
+++ b/src/main/java/org/weldcourse/admission/Recorder.java
@@ -209,7 +209,7 @@
     }
 
     private static void nameRecord(Job job, String key, SliceCodec.Admitted part) {
-        SliceCodec.visit(SliceCodec.record(part, 0, 0, null), (machine, written, first, last) -> {
+        part.visit((machine, written, first, last) -> {
             for (int task = first; task <= last; task++) {
                 Booking booking = job.bookings.get(task);
                 if (booking != null && booking.attempt == written) {
@@ -317,6 +317,9 @@
             if (smallest == null || writes.size() < smallest.size()) {
                 smallest = writes;
             }
+            if (smallest.size() == 1) {
+                break;
+            }
         }
         if (smallest != null && smallest.size() <= txnOps) {
             write(job, smallest, then);
--- a/src/main/java/org/weldcourse/jobs/SliceCodec.java
+++ b/src/main/java/org/weldcourse/jobs/SliceCodec.java
@@ -36,6 +36,17 @@
             return byMachine.isEmpty();
         }
 
+        /** Visits each run of consecutive tasks of a machine and attempt. */
+        public void visit(Visitor visitor) {
+            byMachine.forEach((machine, attempts) -> attempts.forEach((attempt, tasks) -> {
+                for (int first = tasks.nextSetBit(0); first >= 0; ) {
+                    int end = tasks.nextClearBit(first);
+                    visitor.tasks(machine, attempt, first, end - 1);
+                    first = tasks.nextSetBit(end);
+                }
+            }));
+        }
+
         /** The same in parts that leave so many bytes of a record to other things; none is larger than it has to be. */
         public List<Admitted> split(int mostBytes) {
             List<Admitted> parts = new ArrayList<>();
