--- /dev/null
+++ b/src/main/java/org/weldcourse/admission/MachineRoom.java
@@ -0,0 +1,91 @@
+package org.weldcourse.admission;
+
+import java.util.Set;
+import org.weldcourse.admission.Snapshot.MachineView;
+import org.weldcourse.admission.Snapshot.TaskView;
+import org.weldcourse.fleet.MachineType;
+import org.weldcourse.jobs.JobSpec;
+
+/** What is free on a machine as a cycle books tasks on it. */
+final class MachineRoom {
+    final MachineView machine;
+    final double pricePerCpu;
+    /** Price per CPU in coarse steps: spot prices wander, and a small difference decides nothing. */
+    final int priceStep;
+    double cpus;
+    double gpus;
+    double memoryGb;
+    /** Whether it holds the image of the job that looks for room just now. */
+    boolean holdsImage;
+    /** And whether others that would displace it need such a machine. */
+    boolean sought;
+    /** What tasks should leave in a moment: others are booked on it ahead, to run in the answer to the exits. */
+    double cpusAhead;
+    double gpusAhead;
+    double memoryGbAhead;
+    /** The gang that it is held for while the rest of that gang's places are found. */
+    JobSpec heldFor;
+    /** Replicas of services, all services together. */
+    int replicas;
+    /** Few machines have any in a cycle. */
+    Set<TaskView> victims = Set.of();
+
+    MachineRoom(MachineView machine, long untilMicros, long nowMicros) {
+        this.machine = machine;
+        pricePerCpu = machine.type().price(machine.spot()) / machine.type().cpus();
+        priceStep = pricePerCpu <= 0 ? 0 : (int) Math.round(Math.log(pricePerCpu) / Math.log(1.4));
+        cpus = machine.type().cpus() - machine.load().cpus();
+        gpus = machine.type().gpus() - machine.load().gpus();
+        memoryGb = machine.type().memoryGb() - machine.load().memoryGb();
+        for (TaskView task : machine.load().tasks()) {
+            replicas += task.job().service() && !task.stopping() ? 1 : 0;
+            // One that is past its time may go on for long: nothing is booked behind it.
+            if (task.running() && !task.stopping() && task.isDue(nowMicros, untilMicros)) {
+                cpusAhead += task.job().cpus();
+                gpusAhead += task.job().gpus();
+                memoryGbAhead += task.job().memoryGb();
+            }
+        }
+    }
+
+    int fits(JobSpec job) {
+        return fits(job, cpus, gpus, memoryGb);
+    }
+
+    /** How many tasks have room now or in a moment. */
+    int fitsAhead(JobSpec job) {
+        return fits(job, cpus + cpusAhead, gpus + gpusAhead, memoryGb + memoryGbAhead);
+    }
+
+    static int fits(JobSpec job, double cpus, double gpus, double memoryGb) {
+        double most = Math.floor((cpus + MachineType.EPSILON) / job.cpus());
+        if (job.gpus() > 0) {
+            most = Math.min(most, Math.floor((gpus + MachineType.EPSILON) / job.gpus()));
+        }
+        if (job.memoryGb() > 0) {
+            most = Math.min(most, Math.floor((memoryGb + MachineType.EPSILON) / job.memoryGb()));
+        }
+        return (int) Math.max(0, most);
+    }
+
+    int replicasOf(JobSpec job) {
+        int replicas = 0;
+        for (TaskView task : machine.load().tasks()) {
+            replicas += task.job().id().equals(job.id()) ? 1 : 0;
+        }
+        return replicas;
+    }
+
+    double fetchSeconds(JobSpec job) {
+        return machine.load().images().contains(job.image())
+                ? 0
+                : job.imageGb() / Math.max(0.01, machine.type().fetchGbPerSecond());
+    }
+
+    void take(JobSpec job, int tasks) {
+        replicas += job.service() ? tasks : 0;
+        cpus -= job.cpus() * tasks;
+        gpus -= job.gpus() * tasks;
+        memoryGb -= job.memoryGb() * tasks;
+    }
+}
--- a/src/main/java/org/weldcourse/admission/Planner.java
+++ b/src/main/java/org/weldcourse/admission/Planner.java
@@ -36,14 +36,12 @@
     /** A class's largest jobs must begin within four minutes; from here on they come before their equals. */
     private static final long LARGE_OWED_MICROS = 120_000_000;
     private static final long OWED_MICROS = 180_000_000;
-    /** Of so many machines each holds its part of a service's replicas. */
-    private static final int MACHINES_OF_A_SERVICE = 3;
     private static final int OWED = 0;
     private static final int KEEPS_AIM = 1;
     private static final int MISSED_AIM = Integer.MAX_VALUE;
 
-    private final List<Room> rooms = new ArrayList<>();
-    private final Map<String, Usage> usages = new HashMap<>();
+    private final List<MachineRoom> rooms = new ArrayList<>();
+    private final Map<String, TeamUsage> usages = new HashMap<>();
     /** The tasks of each class's largest job that waits. */
     private final Map<String, Integer> largest = new HashMap<>();
     private final List<Decisions.Admission> admissions = new ArrayList<>();
@@ -63,10 +61,10 @@
         this.bounds = bounds;
         this.nowMicros = snapshot.nowMicros();
         for (MachineView machine : snapshot.machines()) {
-            rooms.add(new Room(machine, nowMicros + bounds.aheadMicros, nowMicros));
+            rooms.add(new MachineRoom(machine, nowMicros + bounds.aheadMicros, nowMicros));
         }
         for (TeamView team : snapshot.teams()) {
-            usages.put(team.team().name(), new Usage(team));
+            usages.put(team.team().name(), new TeamUsage(team));
         }
     }
 
@@ -83,126 +81,6 @@
         return new Decisions(planner.admissions, planner.stops, planner.waiting, planner.held);
     }
 
-    /** The room of a machine as bookings go on. */
-    private static final class Room {
-        final MachineView machine;
-        final double pricePerCpu;
-        /** Price per CPU in coarse steps: spot prices wander, and a small difference decides nothing. */
-        final int priceStep;
-        double cpus;
-        double gpus;
-        double memoryGb;
-        /** Whether it holds the image of the job that looks for room just now. */
-        boolean holdsImage;
-        /** And whether others that would displace it need such a machine. */
-        boolean sought;
-        /** What tasks should leave in a moment: others are booked on it ahead, to run in the answer to the exits. */
-        double cpusAhead;
-        double gpusAhead;
-        double memoryGbAhead;
-        /** The gang that it is held for while the rest of that gang's places are found. */
-        JobSpec heldFor;
-        /** Few machines have any in a cycle. */
-        Set<TaskView> victims = Set.of();
-
-        Room(MachineView machine, long untilMicros, long nowMicros) {
-            this.machine = machine;
-            pricePerCpu = machine.type().price(machine.spot()) / machine.type().cpus();
-            priceStep = pricePerCpu <= 0 ? 0 : (int) Math.round(Math.log(pricePerCpu) / Math.log(1.4));
-            cpus = machine.type().cpus() - machine.load().cpus();
-            gpus = machine.type().gpus() - machine.load().gpus();
-            memoryGb = machine.type().memoryGb() - machine.load().memoryGb();
-            for (TaskView task : machine.load().tasks()) {
-                // One that is past its time may go on for long: nothing is booked behind it.
-                if (task.running() && !task.stopping() && task.isDue(nowMicros, untilMicros)) {
-                    cpusAhead += task.job().cpus();
-                    gpusAhead += task.job().gpus();
-                    memoryGbAhead += task.job().memoryGb();
-                }
-            }
-        }
-
-        int fits(JobSpec job) {
-            return fits(job, cpus, gpus, memoryGb);
-        }
-
-        /** How many tasks have room now or in a moment. */
-        int fitsAhead(JobSpec job) {
-            return fits(job, cpus + cpusAhead, gpus + gpusAhead, memoryGb + memoryGbAhead);
-        }
-
-        private static int fits(JobSpec job, double cpus, double gpus, double memoryGb) {
-            double most = Math.floor((cpus + EPSILON) / job.cpus());
-            if (job.gpus() > 0) {
-                most = Math.min(most, Math.floor((gpus + EPSILON) / job.gpus()));
-            }
-            if (job.memoryGb() > 0) {
-                most = Math.min(most, Math.floor((memoryGb + EPSILON) / job.memoryGb()));
-            }
-            return (int) Math.max(0, most);
-        }
-
-        int replicasOf(JobSpec job) {
-            int replicas = 0;
-            for (TaskView task : machine.load().tasks()) {
-                replicas += task.job().id().equals(job.id()) ? 1 : 0;
-            }
-            return replicas;
-        }
-
-        void take(JobSpec job, int tasks) {
-            cpus -= job.cpus() * tasks;
-            gpus -= job.gpus() * tasks;
-            memoryGb -= job.memoryGb() * tasks;
-        }
-    }
-
-    /** A team's use as bookings go on. */
-    private static final class Usage {
-        final TeamView team;
-        double cpus;
-        double gpus;
-
-        Usage(TeamView team) {
-            this.team = team;
-            cpus = team.usedCpus();
-            gpus = team.usedGpus();
-        }
-
-        int underLimit(JobSpec job) {
-            double most = Math.floor((team.team().cpusMax() - cpus + EPSILON) / job.cpus());
-            if (job.gpus() > 0) {
-                most = Math.min(most, Math.floor((team.team().gpusMax() - gpus + EPSILON) / job.gpus()));
-            }
-            return (int) Math.max(0, Math.min(most, Integer.MAX_VALUE));
-        }
-
-        boolean withinGuarantee(JobSpec job, int tasks) {
-            return cpus + job.cpus() * tasks <= team.team().cpus() + EPSILON
-                    && gpus + job.gpus() * tasks <= team.team().gpus() + EPSILON;
-        }
-
-        /** Whether the team still has its whole guarantee in use after giving up so much. */
-        boolean borrowsWithout(double cpusLess, double gpusLess) {
-            return cpus - cpusLess >= team.team().cpus() - EPSILON
-                    && gpus - gpusLess >= Math.min(gpus, team.team().gpus()) - EPSILON;
-        }
-
-        /** How many tasks of the job the team may claim as part of its guarantee. */
-        int underGuarantee(JobSpec job) {
-            double most = Math.floor((team.team().cpus() - cpus + EPSILON) / job.cpus());
-            if (job.gpus() > 0) {
-                most = Math.min(most, Math.floor((team.team().gpus() - gpus + EPSILON) / job.gpus()));
-            }
-            return (int) Math.max(0, most);
-        }
-
-        void take(JobSpec job, int tasks) {
-            cpus += job.cpus() * tasks;
-            gpus += job.gpus() * tasks;
-        }
-    }
-
     private void run(List<JobView> jobs) {
         for (JobView job : jobs) {
             largest.merge(job.spec().jobClass(), job.spec().tasks(), Math::max);
@@ -279,12 +157,12 @@
     }
 
     private boolean within(JobView job) {
-        Usage usage = usages.get(job.spec().team());
+        TeamUsage usage = usages.get(job.spec().team());
         return usage != null && usage.withinGuarantee(job.spec(), job.spec().gang() ? job.spec().tasks() : 1);
     }
 
     private void admit(JobView job) {
-        Usage usage = usages.get(job.spec().team());
+        TeamUsage usage = usages.get(job.spec().team());
         int wanted = job.pending().cardinality();
         if (usage == null) {
             waiting.add(new Decisions.Waiting(job.spec(), wanted, true));
@@ -316,10 +194,10 @@
         }
     }
 
-    private List<Room> allowedRooms(JobView job) {
+    private List<MachineRoom> allowedRooms(JobView job) {
         JobSpec spec = job.spec();
-        List<Room> allowed = new ArrayList<>();
-        for (Room room : rooms) {
+        List<MachineRoom> allowed = new ArrayList<>();
+        for (MachineRoom room : rooms) {
             MachineView machine = room.machine;
             if (!isHeldFrom(room, spec) && spec.allowsType(machine.type().name()) && spec.allowsZone(machine.zone())
                     && (spec.spot() || !machine.spot()) && !job.badMachines().contains(machine.name())) {
@@ -329,7 +207,7 @@
         return allowed;
     }
 
-    private int placeArray(JobView job, Usage usage, int most) {
+    private int placeArray(JobView job, TeamUsage usage, int most) {
         JobSpec spec = job.spec();
         List<JobSpec> foundNone = withoutRoom.computeIfAbsent(new Kind(spec), kind -> new ArrayList<>());
         if (foundNone.stream().anyMatch(smaller -> needsNoMoreThan(smaller, spec))) {
@@ -337,23 +215,23 @@
         }
         Map<String, Integer> zoneCounts = new HashMap<>(job.zoneCounts());
         String onlyZone = null;
-        List<Room> allowed = allowedRooms(job);
+        List<MachineRoom> allowed = allowedRooms(job);
         if (spec.oneZone()) {
             onlyZone = zoneCounts.isEmpty() ? roomiestZone(allowed, spec) : zoneCounts.keySet().iterator().next();
         }
         // The cheapest machines first and of those the fullest, so that the dear ones run empty and can go.
-        List<Room> open = new ArrayList<>();
-        for (Room room : allowed) {
+        List<MachineRoom> open = new ArrayList<>();
+        for (MachineRoom room : allowed) {
             if (room.fitsAhead(spec) > 0) {
                 open.add(room);
             }
         }
-        sortByPreference(open, spec);
-        Map<Room, Integer> counts = new LinkedHashMap<>();
+        sort(open, spec);
+        Map<MachineRoom, Integer> counts = new LinkedHashMap<>();
         int left = most;
         int keptBack = 0;
         if (spec.service()) {
-            left = scatter(job, open, onlyZone, zoneCounts, counts, left);
+            left = ReplicaPlacement.scatter(spec, open, onlyZone, zoneCounts, counts, left);
         }
         for (boolean ahead : new boolean[] {false, true}) {
             if (ahead && spec.service()) {
@@ -363,7 +241,7 @@
             // A job is done with its last task: half of what waits is kept for room that is free for certain.
             int keep = ahead ? (left + 1) / 2 : 0;
             keptBack = keep;
-            for (Room room : open) {
+            for (MachineRoom room : open) {
                 String zone = room.machine.zone();
                 if (left <= keep || onlyZone != null && !onlyZone.equals(zone)) {
                     continue;
@@ -384,7 +262,7 @@
         if (left > 0) {
             boolean reclaims = reclaims(job, usage);
             allowed.removeIf(room -> !mayYield(job, reclaims, room));
-            sortByPreference(allowed, spec);
+            sort(allowed, spec);
             left -= displaceForArray(job, usage, allowed, onlyZone, zoneCounts, left);
         }
         if (left > 0 && roomIsGone && !spec.oneZone() && !spec.spread() && job.badMachines().isEmpty()) {
@@ -393,29 +271,6 @@
         return most - left;
     }
 
-    /**
-     * A service's replicas go to several machines of those that are there, so that the loss of one takes few: a third of them
-     * on each at most, as long as there are enough. What then finds no place is packed as arrays are.
-     */
-    private static int scatter(JobView job, List<Room> open, String onlyZone, Map<String, Integer> zoneCounts,
-            Map<Room, Integer> counts, int wanted) {
-        JobSpec spec = job.spec();
-        int each = (spec.tasks() + MACHINES_OF_A_SERVICE - 1) / MACHINES_OF_A_SERVICE;
-        int left = wanted;
-        for (Room room : open) {
-            String zone = room.machine.zone();
-            int most = Math.min(Math.min(left, each - room.replicasOf(spec)),
-                    spec.mostPerZone() - zoneCounts.getOrDefault(zone, 0));
-            int take = onlyZone != null && !onlyZone.equals(zone) ? 0 : Math.min(most, room.fits(spec));
-            if (take > 0) {
-                counts.merge(room, take, Integer::sum);
-                zoneCounts.merge(zone, take, Integer::sum);
-                left -= take;
-            }
-        }
-        return left;
-    }
-
     /** Whose arrays may go where, and what they may displace: all that decides on their room but their size. */
     private record Kind(String team, JobSpec.Rank rank, List<String> types, String zone, boolean spot) {
         Kind(JobSpec spec) {
@@ -427,15 +282,23 @@
         return a.cpus() <= b.cpus() && a.gpus() <= b.gpus() && a.memoryGb() <= b.memoryGb();
     }
 
-    private static void sortByPreference(List<Room> rooms, JobSpec spec) {
-        for (Room room : rooms) {
+    private static void sort(List<MachineRoom> rooms, JobSpec spec) {
+        if (spec.service()) {
+            ReplicaPlacement.sort(rooms, spec);
+        } else {
+            sortByPreference(rooms, spec);
+        }
+    }
+
+    private static void sortByPreference(List<MachineRoom> rooms, JobSpec spec) {
+        for (MachineRoom room : rooms) {
             room.sought = room.machine.soughtBy() != null && room.machine.soughtBy().compareTo(spec.rank()) < 0;
             room.holdsImage = room.machine.load().images().contains(spec.image());
         }
         rooms.sort(Planner::comparePreference);
     }
 
-    private static int comparePreference(Room a, Room b) {
+    private static int comparePreference(MachineRoom a, MachineRoom b) {
         if (a.priceStep != b.priceStep) {
             return Integer.compare(a.priceStep, b.priceStep);
         }
@@ -450,20 +313,20 @@
     }
 
     /** Whether a look at the machine for work to displace could find any. */
-    private boolean mayYield(JobView job, boolean reclaims, Room room) {
+    private boolean mayYield(JobView job, boolean reclaims, MachineRoom room) {
         return reclaims || room.machine.load().yieldsTo(job.spec().rank());
     }
 
-    private boolean reclaims(JobView job, Usage usage) {
+    private boolean reclaims(JobView job, TeamUsage usage) {
         return usage.withinGuarantee(job.spec(), job.spec().gang() ? job.pending().cardinality() : 1);
     }
 
     /** Books over what may be displaced: the victims are stopped, and the tasks run once those have left. */
-    private int displaceForArray(JobView job, Usage usage, List<Room> allowed, String onlyZone,
+    private int displaceForArray(JobView job, TeamUsage usage, List<MachineRoom> allowed, String onlyZone,
             Map<String, Integer> zoneCounts, int wanted) {
-        Map<Room, Integer> counts = new LinkedHashMap<>();
+        Map<MachineRoom, Integer> counts = new LinkedHashMap<>();
         int left = wanted;
-        for (Room room : allowed) {
+        for (MachineRoom room : allowed) {
             String zone = room.machine.zone();
             int most = Math.min(left, job.spec().mostPerZone() - zoneCounts.getOrDefault(zone, 0));
             if (most <= 0 || onlyZone != null && !onlyZone.equals(zone)) {
@@ -489,9 +352,9 @@
         return wanted - left;
     }
 
-    private String roomiestZone(List<Room> allowed, JobSpec spec) {
+    private String roomiestZone(List<MachineRoom> allowed, JobSpec spec) {
         Map<String, Integer> fits = new HashMap<>();
-        for (Room room : allowed) {
+        for (MachineRoom room : allowed) {
             fits.merge(room.machine.zone(), room.fits(spec), Integer::sum);
         }
         return fits.entrySet().stream()
@@ -500,15 +363,15 @@
                 .map(Map.Entry::getKey).orElse(null);
     }
 
-    private boolean placeGang(JobView job, Usage usage, int tasks) {
+    private boolean placeGang(JobView job, TeamUsage usage, int tasks) {
         Shape shape = new Shape(job.spec());
         if (job.badMachines().isEmpty() && tasks >= unplaceable.getOrDefault(shape, Integer.MAX_VALUE)) {
             return false;
         }
-        Collection<List<Room>> choices = choices(job).values();
+        Collection<List<MachineRoom>> choices = choices(job).values();
         for (boolean displace : new boolean[] {false, true}) {
             GangPlan best = null;
-            for (List<Room> choice : choices) {
+            for (List<MachineRoom> choice : choices) {
                 GangPlan plan = planGang(job, usage, tasks, choice, displace);
                 if (plan != null && (best == null || plan.cost < best.cost)) {
                     best = plan;
@@ -536,9 +399,9 @@
     }
 
     /** The rooms among which a gang's tasks may be spread: by zone when it must be in one, else all together. */
-    private Map<String, List<Room>> choices(JobView job) {
-        Map<String, List<Room>> choices = new LinkedHashMap<>();
-        for (Room room : allowedRooms(job)) {
+    private Map<String, List<MachineRoom>> choices(JobView job) {
+        Map<String, List<MachineRoom>> choices = new LinkedHashMap<>();
+        for (MachineRoom room : allowedRooms(job)) {
             if (room.machine.type().fits(job.spec())) {
                 choices.computeIfAbsent(job.spec().oneZone() ? room.machine.zone() : ANYWHERE, zone -> new ArrayList<>())
                         .add(room);
@@ -552,25 +415,25 @@
      * less, don't overtake it for ever; lower ranks may use them meanwhile. The hold follows from the time of acceptance
      * alone, so that every leader holds alike, and it pauses now and then, should the rest never be found.
      */
-    private Map<String, Integer> gather(JobView job, Usage usage, int tasks) {
+    private Map<String, Integer> gather(JobView job, TeamUsage usage, int tasks) {
         long heldMicros = Math.floorMod(Math.max(0, nowMicros - job.acceptedMicros()), HOLD_MICROS + HOLD_PAUSE_MICROS);
         Map<String, Integer> freeByZone = new HashMap<>();
         Shape shape = new Shape(job.spec());
         if (exhausted.contains(shape)) {
             return freeByZone;
         }
-        Map<String, List<Room>> choices = choices(job);
+        Map<String, List<MachineRoom>> choices = choices(job);
         if (choices.isEmpty() && job.badMachines().isEmpty()) {
             exhausted.add(shape);
         }
         boolean reclaims = reclaims(job, usage);
         List<Gathered> best = new ArrayList<>();
         int bestFree = -1;
-        for (List<Room> choice : choices.values()) {
+        for (List<MachineRoom> choice : choices.values()) {
             List<Gathered> gathered = new ArrayList<>(choice.size());
             int all = 0;
             int most = 0;
-            for (Room room : choice) {
+            for (MachineRoom room : choice) {
                 Offer offer = room.fits(job.spec()) > 0 || mayYield(job, reclaims, room)
                         ? offerWithVictims(job, usage, room, tasks, 0) : null;
                 int places = offer == null ? 0 : offer.tasks;
@@ -590,7 +453,7 @@
             best.sort(Gathered::compareWait);
             int places = 0;
             for (Gathered gathered : best) {
-                Room room = gathered.room;
+                MachineRoom room = gathered.room;
                 if (places >= tasks) {
                     break;
                 }
@@ -603,7 +466,7 @@
     }
 
     /** A machine that may be held for a gang: whether it has no place yet, and when its last task should have ended. */
-    private record Gathered(Room room, boolean full, long freeAtMicros) {
+    private record Gathered(MachineRoom room, boolean full, long freeAtMicros) {
         int compareWait(Gathered other) {
             if (full != other.full) {
                 return Boolean.compare(full, other.full);
@@ -614,7 +477,7 @@
     }
 
     /** When the last of the tasks on the machine should have ended. */
-    private long freeAtMicros(Room room) {
+    private long freeAtMicros(MachineRoom room) {
         long atMicros = nowMicros;
         for (TaskView task : room.machine.load().tasks()) {
             atMicros = Math.max(atMicros, task.endsMicros(nowMicros));
@@ -623,36 +486,36 @@
     }
 
     /** Work that the holder may displace again can use the room meanwhile. */
-    private boolean isHeldFrom(Room room, JobSpec job) {
+    private boolean isHeldFrom(MachineRoom room, JobSpec job) {
         JobSpec holder = room.heldFor;
         if (holder == null) {
             return false;
         }
-        Usage usage = usages.get(job.team());
+        TeamUsage usage = usages.get(job.team());
         boolean yields = job.rank().compareTo(holder.rank()) > 0
                 && (job.team().equals(holder.team()) || usage == null || usage.team.team().cpus() <= 0);
         return !yields;
     }
 
-    private record GangPlan(Map<Room, Integer> counts, List<Offer> offers, double cost) {
+    private record GangPlan(Map<MachineRoom, Integer> counts, List<Offer> offers, double cost) {
     }
 
     /** A machine's offer to a gang: so many tasks, for the work that stopping the victims would lose. */
-    private record Offer(Room room, int tasks, List<TaskView> victims, double cost) {
+    private record Offer(MachineRoom room, int tasks, List<TaskView> victims, double cost) {
         double costPerTask() {
             return cost / tasks;
         }
     }
 
-    private GangPlan planGang(JobView job, Usage usage, int tasks, List<Room> choice, boolean displace) {
+    private GangPlan planGang(JobView job, TeamUsage usage, int tasks, List<MachineRoom> choice, boolean displace) {
         JobSpec spec = job.spec();
         List<Offer> offers = new ArrayList<>();
         boolean reclaims = reclaims(job, usage);
         double cheapest = Double.POSITIVE_INFINITY;
-        for (Room room : choice) {
+        for (MachineRoom room : choice) {
             cheapest = Math.min(cheapest, room.pricePerCpu);
         }
-        for (Room room : choice) {
+        for (MachineRoom room : choice) {
             double ownCost = room.machine.load().images().contains(spec.image()) ? 0
                     : spec.imageGb() / Math.max(0.01, room.machine.type().fetchGbPerSecond()) * spec.cpus();
             if (cheapest > 0) {
@@ -674,7 +537,7 @@
             }
         }
         offers.sort(Comparator.comparingDouble(Offer::costPerTask).thenComparing(offer -> offer.room.machine.name()));
-        Map<Room, Integer> counts = new LinkedHashMap<>();
+        Map<MachineRoom, Integer> counts = new LinkedHashMap<>();
         Map<String, Integer> zoneCounts = new HashMap<>();
         List<Offer> taken = new ArrayList<>();
         double cost = 0;
@@ -697,7 +560,7 @@
         return null;
     }
 
-    private Offer offerWithVictims(JobView job, Usage usage, Room room, int tasks, double ownCost) {
+    private Offer offerWithVictims(JobView job, TeamUsage usage, MachineRoom room, int tasks, double ownCost) {
         JobSpec spec = job.spec();
         int bestFits = room.fits(spec);
         int chosen = 0;
@@ -715,7 +578,7 @@
                 gpus += victim.job().gpus();
                 memoryGb += victim.job().memoryGb();
                 cost += victim.stopping() ? 0 : (victim.lostMicros(nowMicros) / 1e6 + 1) * victim.job().cpus();
-                int fits = Room.fits(spec, cpus, gpus, memoryGb);
+                int fits = MachineRoom.fits(spec, cpus, gpus, memoryGb);
                 if (fits > bestFits) {
                     bestFits = fits;
                     chosen = i + 1;
@@ -731,17 +594,17 @@
      * What a team runs within its guarantee yields to other teams only by rank, and only to a team that claims
      * its own guarantee; or a borrower of high rank and an owner of low rank would displace each other for ever.
      */
-    private List<TaskView> displaceable(JobView job, Usage usage, Room room) {
+    private List<TaskView> displaceable(JobView job, TeamUsage usage, MachineRoom room) {
         boolean reclaims = reclaims(job, usage);
         List<TaskView> candidates = new ArrayList<>();
-        Map<Usage, double[]> taken = new HashMap<>();
+        Map<TeamUsage, double[]> taken = new HashMap<>();
         for (TaskView task : room.machine.load().tasks()) {
             if (room.victims.contains(task) || task.job().id().equals(job.spec().id())) {
                 continue;
             }
             boolean ownTeam = task.job().team().equals(job.spec().team());
             boolean lowerRank = task.job().rank().compareTo(job.spec().rank()) > 0;
-            Usage other = usages.get(task.job().team());
+            TeamUsage other = usages.get(task.job().team());
             double[] less = taken.computeIfAbsent(other, team -> new double[2]);
             boolean borrowed = !ownTeam && other != null
                     && other.borrowsWithout(less[0] + task.job().cpus(), less[1] + task.job().gpus());
@@ -755,11 +618,11 @@
     }
 
     /** The team's own work of lower rank stands in the way of its limit: stop as much as is missing. */
-    private void makeQuota(JobView job, Usage usage, int tasksMissing) {
+    private void makeQuota(JobView job, TeamUsage usage, int tasksMissing) {
         double cpusMissing = job.spec().cpus() * tasksMissing;
         double gpusMissing = job.spec().gpus() * tasksMissing;
         List<Victim> own = new ArrayList<>();
-        for (Room room : rooms) {
+        for (MachineRoom room : rooms) {
             for (TaskView task : room.machine.load().tasks()) {
                 if (task.job().team().equals(job.spec().team())
                         && task.job().rank().compareTo(job.spec().rank()) > 0) {
@@ -783,10 +646,10 @@
         }
     }
 
-    private record Victim(Room room, TaskView task) {
+    private record Victim(MachineRoom room, TaskView task) {
     }
 
-    private void stop(Room room, TaskView victim) {
+    private void stop(MachineRoom room, TaskView victim) {
         if (room.victims.isEmpty()) {
             room.victims = Collections.newSetFromMap(new IdentityHashMap<>());
         }
@@ -799,10 +662,10 @@
         }
     }
 
-    private void book(JobView job, Usage usage, Map<Room, Integer> counts) {
+    private void book(JobView job, TeamUsage usage, Map<MachineRoom, Integer> counts) {
         Map<String, int[]> tasks = new LinkedHashMap<>();
         BitSet pending = job.pending();
-        for (Map.Entry<Room, Integer> entry : counts.entrySet()) {
+        for (Map.Entry<MachineRoom, Integer> entry : counts.entrySet()) {
             int[] chosen = new int[entry.getValue()];
             for (int i = 0; i < chosen.length; i++) {
                 chosen[i] = pending.nextSetBit(0);
@@ -812,9 +675,12 @@
             entry.getKey().take(job.spec(), chosen.length);
             usage.take(job.spec(), chosen.length);
         }
-        // Past the bound the room is spoken for all the same, or less important work would be admitted instead.
         if (admissions.size() < bounds.mostAdmissions) {
             admissions.add(new Decisions.Admission(job.spec().id(), tasks));
+        } else {
+            // Past the bound the room is spoken for all the same, or less important work would be admitted instead, and the
+            // machines be returned before the next cycles can admit it.
+            held.addAll(tasks.keySet());
         }
     }
 }
--- a/src/test/java/org/weldcourse/admission/PlannerTest.java
+++ b/src/test/java/org/weldcourse/admission/PlannerTest.java
@@ -107,6 +107,30 @@
         assertEquals(1, decide(bounds, machines, gang(1, 1, 1), gang(2, 1, 2)).admissions().size());
     }
 
+    @Test
+    void machinesOfWorkPastTheBoundAreHeldSoThatTheyAreNotReturned() throws Exception {
+        List<MachineView> machines = List.of(machine("m-1"), machine("m-2"));
+        Decisions decisions = decide(new Planner.Bounds(1_000, 1, 0), machines, gang(1, 1, 1), gang(2, 1, 2));
+        assertEquals(1, decisions.held().size(), decisions.held().toString());
+        assertTrue(decisions.admissions().get(0).tasks().keySet().stream().noneMatch(decisions.held()::contains));
+        assertEquals(Set.of(), decide(PLENTY, machines, gang(1, 1, 1), gang(2, 1, 2)).held());
+    }
+
+    @Test
+    void replicasOfDifferentServicesShareMachinesButNoMachineHoldsMoreThanItsPart() throws Exception {
+        JobSpec other = spec("req-000009", "shape", "service", "rank", "prod", "cpus", 1.0, "expected_s", 0.0);
+        JobSpec array = spec("req-000008", "rank", "idle", "cpus", 8.0);
+        TaskView replica = new TaskView(other, 0, false, NOW - 60 * SECOND, Long.MAX_VALUE / 2);
+        TaskView task = new TaskView(array, 0, false, NOW - SECOND, 30 * SECOND);
+        List<MachineView> machines = List.of(machine("m-1", task), machine("m-2", replica), machine("m-3", replica),
+                machine("m-4", task), machine("m-5"), machine("m-6", replica, replica, replica, replica, replica, replica));
+        JobSpec service = spec("req-000001", "shape", "service", "rank", "prod", "beads", 6, "cpus", 1.0, "expected_s", 0.0);
+        JobView waiting = new JobView(service, pending(6), NOW, false, new long[0], NOW, SECOND, Map.of(), Set.of());
+        Map<String, int[]> tasks = decide(PLENTY, machines, waiting).admissions().get(0).tasks();
+        assertEquals(Set.of("m-1", "m-2", "m-3"), tasks.keySet(), "two with replicas, then the fullest; m-6 has its part");
+        assertTrue(tasks.values().stream().allMatch(some -> some.length == 2), "a third of the service on each");
+    }
+
     @Test
     void arraysAreBookedAheadOnRoomThatIsFreeInAMoment() throws Exception {
         JobSpec other = spec("req-000009", "cpus", 8.0);
