--- a/src/main/java/org/weldcourse/admission/Board.java
+++ b/src/main/java/org/weldcourse/admission/Board.java
@@ -19,6 +19,7 @@
     private static final long FIRST_BACKOFF_MICROS = 5_000_000;
     /** A job must not be left waiting for 90 s where there is room, be it for its own faults. */
     private static final long MOST_BACKOFF_MICROS = 60_000_000;
+
     private static final long REFUSED_BACKOFF_MICROS = 1_000_000;
     private static final long SHORT_RUN_MICROS = 10_000_000;
 
@@ -126,10 +127,12 @@
                 } else if (!job.spec.service()) {
                     job.done.set(booking.task);
                 }
-                if (job.spec.service() && (booking.runningSinceMicros < 0
-                        || nowMicros - booking.runningSinceMicros < SHORT_RUN_MICROS)) {
+                if (job.spec.service()
+                        && (booking.runningSinceMicros < 0
+                                || nowMicros - booking.runningSinceMicros < SHORT_RUN_MICROS)) {
                     // A replica should not end at all; one that always does at once must not spin.
-                    job.notBeforeMicros = nowMicros + Math.min(MOST_BACKOFF_MICROS, REFUSED_BACKOFF_MICROS << Math.min(6, job.errors++));
+                    job.notBeforeMicros = nowMicros
+                            + Math.min(MOST_BACKOFF_MICROS, REFUSED_BACKOFF_MICROS << Math.min(6, job.errors++));
                 } else {
                     job.errors = 0;
                 }
--- a/src/main/java/org/weldcourse/admission/Booking.java
+++ b/src/main/java/org/weldcourse/admission/Booking.java
@@ -19,6 +19,7 @@
     public boolean seen;
     /** A run went out in answer to the machine's last report, so the task may be there unreported. */
     public boolean runSent;
+
     public Report.State state;
     public boolean stop;
     public long graceMicros;
--- a/src/main/java/org/weldcourse/admission/Decisions.java
+++ b/src/main/java/org/weldcourse/admission/Decisions.java
@@ -9,12 +9,10 @@
 public record Decisions(List<Admission> admissions, List<Stop> stops, List<Waiting> waiting, Set<String> held) {
 
     /** Tasks in ascending order by machine. */
-    public record Admission(String job, Map<String, int[]> tasks) {
-    }
+    public record Admission(String job, Map<String, int[]> tasks) {}
 
     /** A gang is stopped whole. */
-    public record Stop(String job, int task, boolean wholeGang) {
-    }
+    public record Stop(String job, int task, boolean wholeGang) {}
 
     /**
      * {@code byQuota}: the team's limit is in the way, so that more machines would not help. {@code freeByZone}: for a
--- a/src/main/java/org/weldcourse/admission/Drill.java
+++ b/src/main/java/org/weldcourse/admission/Drill.java
@@ -72,7 +72,8 @@
         this.timers = timers;
         this.spare = spare;
         List<String> zones = settings.zones().isEmpty() ? List.of("a") : settings.zones();
-        this.types = List.of(new MachineType("small", 8, 0, 16, 50, 0.4, 0.5, 0.2, 30_000_000, zones),
+        this.types = List.of(
+                new MachineType("small", 8, 0, 16, 50, 0.4, 0.5, 0.2, 30_000_000, zones),
                 new MachineType("large", 32, 0, 128, 50, 0.4, 2.0, 0.8, 30_000_000, zones));
         this.nowhere = new Store(Drill::answered, clock, "nowhere");
     }
@@ -141,16 +142,13 @@
         reconciler = new Reconciler(board, TOKEN, settings.workers().leaseMicros());
         recorder = new Recorder(nowhere, clock, timers, settings.state(), 1, new Recorder.Events() {
             @Override
-            public void recorded(Job job) {
-            }
+            public void recorded(Job job) {}
 
             @Override
-            public void stale(Job job) {
-            }
+            public void stale(Job job) {}
 
             @Override
-            public void outdated() {
-            }
+            public void outdated() {}
         });
         for (int i = 0; i < MACHINES; i++) {
             Machine machine = board.machine(machineName(i), nowMicros);
@@ -164,9 +162,27 @@
     }
 
     private void job(int number, Shape shape, Rank rank, int tasks, double cpus) {
-        JobSpec made = new JobSpec("req-" + number, CLASS, settings.teams().isEmpty() ? CLASS : settings.teams().get(0).name(),
-                shape, rank, tasks, cpus, 0, cpus, "image-" + number % 3, 1, null, null, shape == Shape.GANG, false, true,
-                20_000_000, 10_000_000, 2_000_000, 100_000_000);
+        JobSpec made = new JobSpec(
+                "req-" + number,
+                CLASS,
+                settings.teams().isEmpty() ? CLASS : settings.teams().get(0).name(),
+                shape,
+                rank,
+                tasks,
+                cpus,
+                0,
+                cpus,
+                "image-" + number % 3,
+                1,
+                null,
+                null,
+                shape == Shape.GANG,
+                false,
+                true,
+                20_000_000,
+                10_000_000,
+                2_000_000,
+                100_000_000);
         try {
             // By way of its record, as a leader reads it.
             JobSpec spec = JobCodec.spec(Json.object(Json.parse(Json.bytes(JobCodec.record(made, 0, false)))));
@@ -186,23 +202,47 @@
         List<Object> tasks = new ArrayList<>();
         for (Booking booking : machine.bookings.values()) {
             if (booking.runSent || booking.seen) {
-                Map<String, Object> task = Json.of("bead", booking.name.toString(), "strike", (long) booking.attempt,
-                        "heat", pass == 2 && booking.task % 2 == 0 ? "exited" : booking.seen ? "running" : "fetching");
+                Map<String, Object> task = Json.of(
+                        "bead",
+                        booking.name.toString(),
+                        "strike",
+                        (long) booking.attempt,
+                        "heat",
+                        pass == 2 && booking.task % 2 == 0 ? "exited" : booking.seen ? "running" : "fetching");
                 if (task.get("heat").equals("exited")) {
                     task.put("cause", "done");
                 }
                 tasks.add(task);
             }
         }
-        byte[] body = Json.bytes(Json.of("forge", machine.name, "addr", "127.0.0.1:1", "rig", machine.type.name(),
-                "yard", types.get(0).zones().get(number % types.get(0).zones().size()), "loaners", number % 3 == 0,
-                "shift", 1L, "stitch", (long) ++sequence, "torch", TOKEN, "recall_s", null, "beads", tasks));
+        byte[] body = Json.bytes(Json.of(
+                "forge",
+                machine.name,
+                "addr",
+                "127.0.0.1:1",
+                "rig",
+                machine.type.name(),
+                "yard",
+                types.get(0).zones().get(number % types.get(0).zones().size()),
+                "loaners",
+                number % 3 == 0,
+                "shift",
+                1L,
+                "stitch",
+                (long) ++sequence,
+                "torch",
+                TOKEN,
+                "recall_s",
+                null,
+                "beads",
+                tasks));
         if (front == null) {
             handle(new Request("POST", "/checkin", body), (status, answer, retryAfterSeconds) -> Json.bytes(answer));
             return;
         }
-        byte[] head = ("POST /checkin HTTP/1.1\r\nHost: drill\r\nContent-Type: application/json\r\nContent-Length: " + body.length
-                + "\r\n\r\n").getBytes(StandardCharsets.US_ASCII);
+        byte[] head = ("POST /checkin HTTP/1.1\r\nHost: drill\r\nContent-Type: application/json\r\nContent-Length: "
+                        + body.length + "\r\n\r\n")
+                .getBytes(StandardCharsets.US_ASCII);
         byte[] request = new byte[head.length + body.length];
         System.arraycopy(head, 0, request, 0, head.length);
         System.arraycopy(body, 0, request, head.length, body.length);
@@ -212,14 +252,16 @@
     @Override
     public void handle(Request request, Reply reply) {
         Report report = CheckinCodec.report(request.body());
-        Reconciler.Result result = reconciler.report(board.machine(report.machine(), nowMicros), report, true, nowMicros);
+        Reconciler.Result result =
+                reconciler.report(board.machine(report.machine(), nowMicros), report, true, nowMicros);
         reply.send(200, CheckinCodec.answer(TOKEN, result.orders()));
     }
 
     private void cycle() {
         nowMicros += settings.workers().reportMicros();
         Snapshot snapshot = outlook.snapshot(nowMicros, machine -> machine.type.cpus() > 8 ? Rank.HIGH : null);
-        Decisions decisions = Planner.decide(snapshot, new Planner.Bounds(50, 10, settings.workers().reportMicros()));
+        Decisions decisions = Planner.decide(
+                snapshot, new Planner.Bounds(50, 10, settings.workers().reportMicros()));
         for (Decisions.Admission admission : decisions.admissions()) {
             Job job = board.jobs.get(admission.job());
             List<Booking> booked = new ArrayList<>();
@@ -233,8 +275,15 @@
         }
         List<FleetPlanner.Host> hosts = new ArrayList<>();
         for (Machine machine : board.machines.values()) {
-            hosts.add(new FleetPlanner.Host(machine.type, machine.zone, machine.spot, false, nowMicros,
-                    machine.load(board.runTimes).cpus() * 1e6, 0, new double[Rank.values().length]));
+            hosts.add(new FleetPlanner.Host(
+                    machine.type,
+                    machine.zone,
+                    machine.spot,
+                    false,
+                    nowMicros,
+                    machine.load(board.runTimes).cpus() * 1e6,
+                    0,
+                    new double[Rank.values().length]));
         }
         FleetPlanner.plan(outlook.needs(decisions.waiting()), hosts, types, Set.of(), 50, nowMicros);
         for (Machine machine : board.machines.values()) {
--- a/src/main/java/org/weldcourse/admission/Job.java
+++ b/src/main/java/org/weldcourse/admission/Job.java
@@ -22,9 +22,11 @@
     public final BitSet doneInAdmissions = new BitSet();
     /** Neither finished nor booked. */
     public final BitSet pending = new BitSet();
+
     public final Int2ObjectHashMap<Booking> bookings = new Int2ObjectHashMap<>();
     /** The records kept of it besides its own, with their versions. */
     public final Map<String, Long> records = new TreeMap<>();
+
     public final Set<String> badMachines = new HashSet<>();
     public long version;
     public boolean cancelled;
@@ -37,6 +39,7 @@
     public int writings;
     /** A write of its records is under way; the next one needs to know what came of it. */
     public boolean recording;
+
     public long savedMicros;
     public boolean closing;
     public boolean closed;
@@ -74,7 +77,14 @@
 
     /** A gang may only be booked anew once nothing of its last attempt is left anywhere. */
     public boolean canBeBooked(long nowMicros) {
-        return !cancelled && !recording && !closing && !closed && !stale && !mustMoveDone() && !pending.isEmpty()
-                && nowMicros >= notBeforeMicros && (!spec.gang() || bookings.isEmpty());
+        return !cancelled
+                && !recording
+                && !closing
+                && !closed
+                && !stale
+                && !mustMoveDone()
+                && !pending.isEmpty()
+                && nowMicros >= notBeforeMicros
+                && (!spec.gang() || bookings.isEmpty());
     }
 }
--- a/src/main/java/org/weldcourse/admission/Machine.java
+++ b/src/main/java/org/weldcourse/admission/Machine.java
@@ -23,27 +23,32 @@
     public boolean spot;
     /** When it was rented as far as known, else when this leader first heard of it. */
     public long sinceMicros;
+
     public long session;
     public long sequence = -1;
     /** When its last report that counted came, or -1. */
     public long heardMicros = -1;
     /** It has reported under this leader's token: its list of tasks can be relied on. */
     public boolean underToken;
+
     public long takenBackAtMicros = Long.MAX_VALUE;
     public boolean released;
     public boolean releasing;
     public boolean failed;
     /** By the cloud's word, which lags. */
     public boolean starting;
+
     public long idleSinceMicros;
     /** Answers in a row that its next report showed not to have arrived, and since when. */
     private int lostAnswers;
+
     private long deafSinceMicros;
     private long lostMicros;
     public long upMicros = -1;
     public final Map<TaskName, Booking> bookings = new HashMap<>();
     /** What the last report listed that no booking explains; it holds room until it exits. */
     public final List<Report.Task> strangers = new ArrayList<>();
+
     public final Set<String> jobsFailed = new HashSet<>();
     public int donesSinceError;
     /** Exited tasks of the last report that the worker was not yet told to forget. */
@@ -84,7 +89,10 @@
                 gpus += spec.gpus();
                 memoryGb += spec.memoryGb();
                 held.add(spec.image());
-                tasks.add(new Snapshot.TaskView(spec, booking.task, booking.stop,
+                tasks.add(new Snapshot.TaskView(
+                        spec,
+                        booking.task,
+                        booking.stop,
                         booking.running() ? booking.runningSinceMicros : Snapshot.NOT_RUNNING,
                         runTimes.expectedMicros(booking.job)));
             }
--- a/src/main/java/org/weldcourse/admission/MachineRoom.java
+++ b/src/main/java/org/weldcourse/admission/MachineRoom.java
@@ -12,6 +12,7 @@
     final double pricePerCpu;
     /** Price per CPU in coarse steps: spot prices wander, and a small difference decides nothing. */
     final int priceStep;
+
     double cpus;
     double gpus;
     double memoryGb;
@@ -21,6 +22,7 @@
     boolean sought;
     /** What tasks should leave in a moment: others are booked on it ahead, to run in the answer to the exits. */
     double cpusAhead;
+
     double gpusAhead;
     double memoryGbAhead;
     /** The gang that it is held for while the rest of that gang's places are found. */
--- a/src/main/java/org/weldcourse/admission/Outlook.java
+++ b/src/main/java/org/weldcourse/admission/Outlook.java
@@ -19,6 +19,7 @@
     private static final double DUE_SHARE = 0.85;
     /** How long a place stays empty between two tasks, in reports, for the fleet plan: bells and booking ahead shorten it. */
     private static final double GAP_REPORTS = 0.5;
+
     private static final long LEAST_RUN_MICROS = 1_000_000;
 
     private final Board board;
@@ -38,8 +39,13 @@
         List<MachineView> machines = new ArrayList<>(board.machines.size());
         for (Machine machine : board.machines.values()) {
             if (machine.usable() && nowMicros - machine.heardMicros < quietMicros()) {
-                machines.add(new MachineView(machine.name, machine.type, machine.zone, machine.spot,
-                        sought.by(machine), machine.load(board.runTimes)));
+                machines.add(new MachineView(
+                        machine.name,
+                        machine.type,
+                        machine.zone,
+                        machine.spot,
+                        sought.by(machine),
+                        machine.load(board.runTimes)));
             }
         }
         List<JobView> jobs = new ArrayList<>();
@@ -47,9 +53,15 @@
             if (job.canBeBooked(nowMicros)) {
                 Map<String, Integer> zones = job.spec.oneZone() || job.spec.spread() ? zoneCounts(job) : Map.of();
                 boolean begun = !job.bookings.isEmpty() || !job.done.isEmpty();
-                jobs.add(new JobView(job.spec, (BitSet) job.pending.clone(), job.acceptedMicros,
-                        begun, admitByMicros(job, begun), latestStartMicros(job),
-                        board.runTimes.expectedMicros(job), zones,
+                jobs.add(new JobView(
+                        job.spec,
+                        (BitSet) job.pending.clone(),
+                        job.acceptedMicros,
+                        begun,
+                        admitByMicros(job, begun),
+                        latestStartMicros(job),
+                        board.runTimes.expectedMicros(job),
+                        zones,
                         job.badMachines));
             }
         }
@@ -70,8 +82,8 @@
 
     /** A machine this long without a word gets no new work until it is heard again. */
     long quietMicros() {
-        return Math.max(2 * settings.workers().reportMicros(),
-                settings.workers().leaseMicros() / 3);
+        return Math.max(
+                2 * settings.workers().reportMicros(), settings.workers().leaseMicros() / 3);
     }
 
     List<FleetPlanner.Need> needs(List<Decisions.Waiting> waiting) {
@@ -80,10 +92,16 @@
             if (!item.byQuota()) {
                 JobSpec spec = item.spec();
                 Job job = board.jobs.get(spec.id());
-                needs.add(new FleetPlanner.Need(spec, item.tasks(),
-                        spec.service() ? LEAST_RUN_MICROS : Math.max(LEAST_RUN_MICROS, board.runTimes.expectedMicros(job)),
-                        (long) (settings.workers().reportMicros() * GAP_REPORTS), dueMicros(job),
-                        item.freeByZone(), spec.spread() ? zoneCounts(job) : Map.of()));
+                needs.add(new FleetPlanner.Need(
+                        spec,
+                        item.tasks(),
+                        spec.service()
+                                ? LEAST_RUN_MICROS
+                                : Math.max(LEAST_RUN_MICROS, board.runTimes.expectedMicros(job)),
+                        (long) (settings.workers().reportMicros() * GAP_REPORTS),
+                        dueMicros(job),
+                        item.freeByZone(),
+                        spec.spread() ? zoneCounts(job) : Map.of()));
             }
         }
         return needs;
@@ -108,9 +126,9 @@
                     }
                 }
                 case "finished" -> endByMicros = Math.max(endByMicros, aim.withinMicros());
-                case "deadline" -> endByMicros =
-                        Math.max(endByMicros, (long) (job.spec.deadlineMicros() * Math.max(1, aim.times())));
-                default -> { }
+                case "deadline" ->
+                    endByMicros = Math.max(endByMicros, (long) (job.spec.deadlineMicros() * Math.max(1, aim.times())));
+                default -> {}
             }
         }
         if (endByMicros > 0) {
--- a/src/main/java/org/weldcourse/admission/Planner.java
+++ b/src/main/java/org/weldcourse/admission/Planner.java
@@ -29,12 +29,15 @@
     private static final double EPSILON = MachineType.EPSILON;
     /** How long after its acceptance machines are held for a gang, and the pause until they are held again. */
     private static final long HOLD_MICROS = 225_000_000;
+
     private static final long HOLD_PAUSE_MICROS = 60_000_000;
     /** From here on a gang's machines are held even before there are enough of them. */
     private static final long HOLD_FEWER_MICROS = 45_000_000;
+
     private static final String ANYWHERE = "";
     /** A class's largest jobs must begin within four minutes; from here on they come before their equals. */
     private static final long LARGE_OWED_MICROS = 120_000_000;
+
     private static final long OWED_MICROS = 180_000_000;
     private static final int OWED = 0;
     private static final int KEEPS_AIM = 1;
@@ -44,6 +47,7 @@
     private final Map<String, TeamUsage> usages = new HashMap<>();
     /** The tasks of each class's largest job that waits. */
     private final Map<String, Integer> largest = new HashMap<>();
+
     private final List<Decisions.Admission> admissions = new ArrayList<>();
     private final List<Decisions.Stop> stops = new ArrayList<>();
     private final List<Decisions.Waiting> waiting = new ArrayList<>();
@@ -54,6 +58,7 @@
     private final Map<Kind, List<JobSpec>> withoutRoom = new HashMap<>();
     /** The shapes for which every machine is held already: in a burst hundreds of gangs need not look at each. */
     private final Set<Shape> exhausted = new HashSet<>();
+
     private final Bounds bounds;
     private final long nowMicros;
 
@@ -72,8 +77,7 @@
      * What the records have room for: tasks in one admission, and admissions in one cycle. Arrays are booked on room
      * that should be free within {@code aheadMicros}.
      */
-    public record Bounds(int mostTasksPerAdmission, int mostAdmissions, long aheadMicros) {
-    }
+    public record Bounds(int mostTasksPerAdmission, int mostAdmissions, long aheadMicros) {}
 
     public static Decisions decide(Snapshot snapshot, Bounds bounds) {
         Planner planner = new Planner(snapshot, bounds);
@@ -88,10 +92,12 @@
         Map<String, ArrayDeque<Queued>> queues = new LinkedHashMap<>();
         List<Queued> ordered = new ArrayList<>(jobs.size());
         jobs.forEach(job -> ordered.add(new Queued(job, promise(job), job.workStep())));
-        ordered.sort(Comparator.comparing((Queued queued) -> queued.job.spec().rank()).thenComparing(Queued::comparePromise)
+        ordered.sort(Comparator.comparing((Queued queued) -> queued.job.spec().rank())
+                .thenComparing(Queued::comparePromise)
                 .thenComparing(queued -> queued.job.spec().id()));
         for (Queued queued : ordered) {
-            queues.computeIfAbsent(queued.job.spec().team(), team -> new ArrayDeque<>()).add(queued);
+            queues.computeIfAbsent(queued.job.spec().team(), team -> new ArrayDeque<>())
+                    .add(queued);
         }
         while (!queues.isEmpty()) {
             JobView head = bestHead(queues).job;
@@ -158,7 +164,9 @@
 
     private boolean within(JobView job) {
         TeamUsage usage = usages.get(job.spec().team());
-        return usage != null && usage.withinGuarantee(job.spec(), job.spec().gang() ? job.spec().tasks() : 1);
+        return usage != null
+                && usage.withinGuarantee(
+                        job.spec(), job.spec().gang() ? job.spec().tasks() : 1);
     }
 
     private void admit(JobView job) {
@@ -199,8 +207,11 @@
         List<MachineRoom> allowed = new ArrayList<>();
         for (MachineRoom room : rooms) {
             MachineView machine = room.machine;
-            if (!isHeldFrom(room, spec) && spec.allowsType(machine.type().name()) && spec.allowsZone(machine.zone())
-                    && (spec.spot() || !machine.spot()) && !job.badMachines().contains(machine.name())) {
+            if (!isHeldFrom(room, spec)
+                    && spec.allowsType(machine.type().name())
+                    && spec.allowsZone(machine.zone())
+                    && (spec.spot() || !machine.spot())
+                    && !job.badMachines().contains(machine.name())) {
                 allowed.add(room);
             }
         }
@@ -217,7 +228,9 @@
         String onlyZone = null;
         List<MachineRoom> allowed = allowedRooms(job);
         if (spec.oneZone()) {
-            onlyZone = zoneCounts.isEmpty() ? roomiestZone(allowed, spec) : zoneCounts.keySet().iterator().next();
+            onlyZone = zoneCounts.isEmpty()
+                    ? roomiestZone(allowed, spec)
+                    : zoneCounts.keySet().iterator().next();
         }
         // The cheapest machines first and of those the fullest, so that the dear ones run empty and can go.
         List<MachineRoom> open = new ArrayList<>();
@@ -265,7 +278,11 @@
             sort(allowed, spec);
             left -= displaceForArray(job, usage, allowed, onlyZone, zoneCounts, left);
         }
-        if (left > 0 && roomIsGone && !spec.oneZone() && !spec.spread() && job.badMachines().isEmpty()) {
+        if (left > 0
+                && roomIsGone
+                && !spec.oneZone()
+                && !spec.spread()
+                && job.badMachines().isEmpty()) {
             foundNone.add(spec);
         }
         return most - left;
@@ -292,7 +309,8 @@
 
     private static void sortByPreference(List<MachineRoom> rooms, JobSpec spec) {
         for (MachineRoom room : rooms) {
-            room.sought = room.machine.soughtBy() != null && room.machine.soughtBy().compareTo(spec.rank()) < 0;
+            room.sought =
+                    room.machine.soughtBy() != null && room.machine.soughtBy().compareTo(spec.rank()) < 0;
             room.holdsImage = room.machine.load().images().contains(spec.image());
         }
         rooms.sort(Planner::comparePreference);
@@ -318,12 +336,18 @@
     }
 
     private boolean reclaims(JobView job, TeamUsage usage) {
-        return usage.withinGuarantee(job.spec(), job.spec().gang() ? job.pending().cardinality() : 1);
+        return usage.withinGuarantee(
+                job.spec(), job.spec().gang() ? job.pending().cardinality() : 1);
     }
 
     /** Books over what may be displaced: the victims are stopped, and the tasks run once those have left. */
-    private int displaceForArray(JobView job, TeamUsage usage, List<MachineRoom> allowed, String onlyZone,
-            Map<String, Integer> zoneCounts, int wanted) {
+    private int displaceForArray(
+            JobView job,
+            TeamUsage usage,
+            List<MachineRoom> allowed,
+            String onlyZone,
+            Map<String, Integer> zoneCounts,
+            int wanted) {
         Map<MachineRoom, Integer> counts = new LinkedHashMap<>();
         int left = wanted;
         for (MachineRoom room : allowed) {
@@ -360,7 +384,8 @@
         return fits.entrySet().stream()
                 .max(Comparator.comparingInt((Map.Entry<String, Integer> e) -> e.getValue())
                         .thenComparing(Map.Entry::getKey))
-                .map(Map.Entry::getKey).orElse(null);
+                .map(Map.Entry::getKey)
+                .orElse(null);
     }
 
     private boolean placeGang(JobView job, TeamUsage usage, int tasks) {
@@ -390,11 +415,29 @@
     }
 
     /** What decides whether a gang finds places. When one found none, its like need not look in the same cycle. */
-    private record Shape(String team, JobSpec.Rank rank, double cpus, double gpus, double memoryGb, List<String> types,
-            String zone, boolean oneZone, boolean spread, boolean spot) {
+    private record Shape(
+            String team,
+            JobSpec.Rank rank,
+            double cpus,
+            double gpus,
+            double memoryGb,
+            List<String> types,
+            String zone,
+            boolean oneZone,
+            boolean spread,
+            boolean spot) {
         Shape(JobSpec spec) {
-            this(spec.team(), spec.rank(), spec.cpus(), spec.gpus(), spec.memoryGb(), spec.types(), spec.zone(),
-                    spec.oneZone(), spec.spread(), spec.spot());
+            this(
+                    spec.team(),
+                    spec.rank(),
+                    spec.cpus(),
+                    spec.gpus(),
+                    spec.memoryGb(),
+                    spec.types(),
+                    spec.zone(),
+                    spec.oneZone(),
+                    spec.spread(),
+                    spec.spot());
         }
     }
 
@@ -403,7 +446,8 @@
         Map<String, List<MachineRoom>> choices = new LinkedHashMap<>();
         for (MachineRoom room : allowedRooms(job)) {
             if (room.machine.type().fits(job.spec())) {
-                choices.computeIfAbsent(job.spec().oneZone() ? room.machine.zone() : ANYWHERE, zone -> new ArrayList<>())
+                choices.computeIfAbsent(
+                                job.spec().oneZone() ? room.machine.zone() : ANYWHERE, zone -> new ArrayList<>())
                         .add(room);
             }
         }
@@ -435,7 +479,8 @@
             int most = 0;
             for (MachineRoom room : choice) {
                 Offer offer = room.fits(job.spec()) > 0 || mayYield(job, reclaims, room)
-                        ? offerWithVictims(job, usage, room, tasks, 0) : null;
+                        ? offerWithVictims(job, usage, room, tasks, 0)
+                        : null;
                 int places = offer == null ? 0 : offer.tasks;
                 gathered.add(new Gathered(room, places == 0, freeAtMicros(room)));
                 all += places;
@@ -493,12 +538,13 @@
         }
         TeamUsage usage = usages.get(job.team());
         boolean yields = job.rank().compareTo(holder.rank()) > 0
-                && (job.team().equals(holder.team()) || usage == null || usage.team.team().cpus() <= 0);
+                && (job.team().equals(holder.team())
+                        || usage == null
+                        || usage.team.team().cpus() <= 0);
         return !yields;
     }
 
-    private record GangPlan(Map<MachineRoom, Integer> counts, List<Offer> offers, double cost) {
-    }
+    private record GangPlan(Map<MachineRoom, Integer> counts, List<Offer> offers, double cost) {}
 
     /** A machine's offer to a gang: so many tasks, for the work that stopping the victims would lose. */
     private record Offer(MachineRoom room, int tasks, List<TaskView> victims, double cost) {
@@ -516,7 +562,8 @@
             cheapest = Math.min(cheapest, room.pricePerCpu);
         }
         for (MachineRoom room : choice) {
-            double ownCost = room.machine.load().images().contains(spec.image()) ? 0
+            double ownCost = room.machine.load().images().contains(spec.image())
+                    ? 0
                     : spec.imageGb() / Math.max(0.01, room.machine.type().fetchGbPerSecond()) * spec.cpus();
             if (cheapest > 0) {
                 // On a dear machine the whole run costs more; what runs there now had better go to it instead.
@@ -577,7 +624,10 @@
                 cpus += victim.job().cpus();
                 gpus += victim.job().gpus();
                 memoryGb += victim.job().memoryGb();
-                cost += victim.stopping() ? 0 : (victim.lostMicros(nowMicros) / 1e6 + 1) * victim.job().cpus();
+                cost += victim.stopping()
+                        ? 0
+                        : (victim.lostMicros(nowMicros) / 1e6 + 1)
+                                * victim.job().cpus();
                 int fits = MachineRoom.fits(spec, cpus, gpus, memoryGb);
                 if (fits > bestFits) {
                     bestFits = fits;
@@ -606,8 +656,10 @@
             boolean lowerRank = task.job().rank().compareTo(job.spec().rank()) > 0;
             TeamUsage other = usages.get(task.job().team());
             double[] less = taken.computeIfAbsent(other, team -> new double[2]);
-            boolean borrowed = !ownTeam && other != null
-                    && other.borrowsWithout(less[0] + task.job().cpus(), less[1] + task.job().gpus());
+            boolean borrowed = !ownTeam
+                    && other != null
+                    && other.borrowsWithout(
+                            less[0] + task.job().cpus(), less[1] + task.job().gpus());
             if (task.stopping() || lowerRank && (ownTeam || borrowed || reclaims) || reclaims && borrowed) {
                 candidates.add(task);
                 less[0] += task.job().cpus();
@@ -646,8 +698,7 @@
         }
     }
 
-    private record Victim(MachineRoom room, TaskView task) {
-    }
+    private record Victim(MachineRoom room, TaskView task) {}
 
     private void stop(MachineRoom room, TaskView victim) {
         if (room.victims.isEmpty()) {
@@ -658,7 +709,8 @@
         }
         room.take(victim.job(), -1);
         if (!victim.stopping() && admissions.size() < bounds.mostAdmissions) {
-            stops.add(new Decisions.Stop(victim.job().id(), victim.task(), victim.job().gang()));
+            stops.add(new Decisions.Stop(
+                    victim.job().id(), victim.task(), victim.job().gang()));
         }
     }
 
@@ -678,7 +730,8 @@
         if (admissions.size() < bounds.mostAdmissions) {
             admissions.add(new Decisions.Admission(job.spec().id(), tasks));
         } else {
-            // Past the bound the room is spoken for all the same, or less important work would be admitted instead, and the
+            // Past the bound the room is spoken for all the same, or less important work would be admitted instead, and
+            // the
             // machines be returned before the next cycles can admit it.
             held.addAll(tasks.keySet());
         }
--- a/src/main/java/org/weldcourse/admission/Recorder.java
+++ b/src/main/java/org/weldcourse/admission/Recorder.java
@@ -28,6 +28,7 @@
     private static final double SHARE_OF_WRITES = 0.7;
     /** A longer burst of the leader's would leave the next submissions none of the second's worth that is allowed. */
     private static final double BURST_SECONDS = 0.5;
+
     private static final double LEFT_BY_BACKGROUND = 0.2;
     private static final int MOST_SHARD_TASKS = 16_000;
     /**
@@ -38,6 +39,7 @@
     private static final int FINE_SHARD = 100_000;
     /** What the state service calls malformed must not be sent again and again as it is. */
     private static final long MALFORMED_PAUSE_MICROS = 5_000_000;
+
     private static final long SAVE_DONE_MICROS = 8_000_000;
     private static final long READ_AGAIN_MICROS = 250_000;
 
@@ -52,6 +54,7 @@
     private final int txnOps;
     /** How versions that know of no lower limits divide finished tasks: the number of a shard says where it begins. */
     private final int plainShardTasks;
+
     private final int shardTasks;
     private boolean ended;
 
@@ -67,15 +70,16 @@
         void outdated();
     }
 
-    public Recorder(Store store, Clock clock, Timers timers, Settings.State limits, long epochVersion,
-            Events events) {
+    public Recorder(Store store, Clock clock, Timers timers, Settings.State limits, long epochVersion, Events events) {
         this.store = store;
         this.clock = clock;
         this.timers = timers;
         this.limits = limits;
         this.epochVersion = epochVersion;
         this.events = events;
-        this.pacer = new Pacer(clock, limits.safeWritesPerSecond() * SHARE_OF_WRITES,
+        this.pacer = new Pacer(
+                clock,
+                limits.safeWritesPerSecond() * SHARE_OF_WRITES,
                 limits.safeWritesPerSecond() * SHARE_OF_WRITES * BURST_SECONDS);
         this.valueBytes = limits.safeValueBytes();
         this.txnOps = limits.safeTxnOps();
@@ -269,8 +273,9 @@
 
     /** Reads the versions of a job's records anew, after a write that they refused. */
     public void refresh(Job job, Runnable then) {
-        store.list(Keys.slices(job.spec.id()), slices ->
-                store.list(Keys.DONE_TASKS + job.spec.id() + "/", done -> {
+        store.list(
+                Keys.slices(job.spec.id()),
+                slices -> store.list(Keys.DONE_TASKS + job.spec.id() + "/", done -> {
                     if (ended) {
                         return;
                     }
@@ -313,7 +318,8 @@
             }
             // One that was written under larger limits may have to be divided.
             SliceCodec.Admitted standing = standing(job, key);
-            Map<String, SliceCodec.Admitted> writes = standing.isEmpty() ? Map.of(key, standing) : spread(job, standing, key);
+            Map<String, SliceCodec.Admitted> writes =
+                    standing.isEmpty() ? Map.of(key, standing) : spread(job, standing, key);
             if (smallest == null || writes.size() < smallest.size()) {
                 smallest = writes;
             }
@@ -351,8 +357,11 @@
             String key = Keys.doneTasks(job.spec.id(), plain ? shard : FINE_SHARD + shard);
             keys.add(key);
             txn.guard(key, job.records.getOrDefault(key, 0L))
-                    .put(key, plain ? Json.of("bits", SliceCodec.bits(now), "n", writing)
-                            : Json.of("bits", SliceCodec.bits(now), "n", writing, "from", from));
+                    .put(
+                            key,
+                            plain
+                                    ? Json.of("bits", SliceCodec.bits(now), "n", writing)
+                                    : Json.of("bits", SliceCodec.bits(now), "n", writing, "from", from));
         }
         put(job, txn, keys, writing, onRecord -> {
             if (onRecord) {
@@ -370,7 +379,8 @@
         job.lastAttempt = Math.max(job.lastAttempt, SliceCodec.lastAttempt(entry.value()));
         boolean isShard = entry.key().startsWith(Keys.DONE_TASKS);
         int from = isShard
-                ? (int) Json.integer(entry.value(), "from", (long) Keys.numberOf(entry.key()) * plainShardTasks) : 0;
+                ? (int) Json.integer(entry.value(), "from", (long) Keys.numberOf(entry.key()) * plainShardTasks)
+                : 0;
         restoreDone(job, entry.value(), from, isShard || keepsDone(job));
     }
 
@@ -401,7 +411,8 @@
         job.closing = true;
         String id = job.spec.id();
         String state = job.cancelled ? "cancelled" : "done";
-        Txn txn = guarded().guard(Keys.open(id), job.version)
+        Txn txn = guarded()
+                .guard(Keys.open(id), job.version)
                 .delete(Keys.open(id))
                 .put(Keys.done(id), Json.of("heat", state, "done", job.done.cardinality()));
         // Bookkeeping is left for quieter times.
--- a/src/main/java/org/weldcourse/admission/RenewalBound.java
+++ b/src/main/java/org/weldcourse/admission/RenewalBound.java
@@ -22,6 +22,7 @@
     static final long MARGIN_MICROS = 3_000_000;
     /** Reads come once a second: of an older one too much may be unknown to start anything. */
     private static final long FRESH_MICROS = 3_000_000;
+
     private static final long NEVER = Long.MIN_VALUE;
 
     private final long spanMicros;
--- a/src/main/java/org/weldcourse/admission/ReplicaPlacement.java
+++ b/src/main/java/org/weldcourse/admission/ReplicaPlacement.java
@@ -50,8 +50,13 @@
      *
      * @return how many replicas found no place
      */
-    static int scatter(JobSpec spec, List<MachineRoom> rooms, String onlyZone, Map<String, Integer> zoneCounts,
-            Map<MachineRoom, Integer> counts, int wanted) {
+    static int scatter(
+            JobSpec spec,
+            List<MachineRoom> rooms,
+            String onlyZone,
+            Map<String, Integer> zoneCounts,
+            Map<MachineRoom, Integer> counts,
+            int wanted) {
         int each = (spec.tasks() + MACHINES_PER_SERVICE - 1) / MACHINES_PER_SERVICE;
         int left = wanted;
         for (MachineRoom room : rooms) {
--- a/src/main/java/org/weldcourse/admission/Snapshot.java
+++ b/src/main/java/org/weldcourse/admission/Snapshot.java
@@ -19,9 +19,11 @@
      */
     public record Load(double cpus, double gpus, double memoryGb, Set<String> images, List<TaskView> tasks) {
         public Load {
-            tasks = tasks.stream().sorted(Comparator.comparing((TaskView task) -> !task.stopping())
-                    .thenComparing(task -> task.job().rank(), Comparator.reverseOrder())
-                    .thenComparingLong(task -> -task.lostSinceMicros())).toList();
+            tasks = tasks.stream()
+                    .sorted(Comparator.comparing((TaskView task) -> !task.stopping())
+                            .thenComparing(task -> task.job().rank(), Comparator.reverseOrder())
+                            .thenComparingLong(task -> -task.lostSinceMicros()))
+                    .toList();
         }
 
         /** Whether a task is on its way out, or of lower rank than this. */
@@ -38,8 +40,8 @@
      * {@code soughtBy}: the highest rank of classes with an aim for their start that need such a machine, or null: what
      * they would displace had better go elsewhere. The load may exceed the machine while a preemptor waits for its victims to leave.
      */
-    public record MachineView(String name, MachineType type, String zone, boolean spot, JobSpec.Rank soughtBy, Load load) {
-    }
+    public record MachineView(
+            String name, MachineType type, String zone, boolean spot, JobSpec.Rank soughtBy, Load load) {}
 
     /** A booked task, since when it runs and how long it should run in all. */
     public record TaskView(JobSpec job, int task, boolean stopping, long runningSinceMicros, long expectedMicros) {
@@ -64,8 +66,7 @@
 
         /** The work that stopping it would lose. */
         long lostMicros(long nowMicros) {
-            return !running() ? 0
-                    : job.checkpointMicros() > 0 ? job.saveMicros() : nowMicros - runningSinceMicros;
+            return !running() ? 0 : job.checkpointMicros() > 0 ? job.saveMicros() : nowMicros - runningSinceMicros;
         }
     }
 
@@ -74,16 +75,22 @@
      * when it has to be admitted to keep its class's aims, the soonest first (none: it has no time to keep),
      * {@code expectedMicros} how long a task of it should run.
      */
-    public record JobView(JobSpec spec, BitSet pending, long acceptedMicros, boolean begun, long[] admitByMicros,
-            long latestStartMicros, long expectedMicros, Map<String, Integer> zoneCounts, Set<String> badMachines) {
+    public record JobView(
+            JobSpec spec,
+            BitSet pending,
+            long acceptedMicros,
+            boolean begun,
+            long[] admitByMicros,
+            long latestStartMicros,
+            long expectedMicros,
+            Map<String, Integer> zoneCounts,
+            Set<String> badMachines) {
         /** The work that is left to admit, in steps of twice as much. */
         int workStep() {
             double cpuSeconds = pending.cardinality() * spec.cpus() * (spec.service() ? 1 : expectedMicros / 1e6);
             return Math.getExponent(Math.max(1, cpuSeconds));
         }
-
     }
 
-    public record TeamView(Settings.Team team, double usedCpus, double usedGpus) {
-    }
+    public record TeamView(Settings.Team team, double usedCpus, double usedGpus) {}
 }
--- a/src/main/java/org/weldcourse/admission/Term.java
+++ b/src/main/java/org/weldcourse/admission/Term.java
@@ -40,14 +40,17 @@
     private static final long SOON_MICROS = 10_000;
     /** What a cycle leaves to check-ins and users before the next one, for each machine and job that it looks at. */
     private static final long PAUSE_EACH_MICROS = 200;
+
     private static final long RETRY_MICROS = 300_000;
     /** Each watch that comes back shows that nothing is missing up to its sending, so they are short: see RenewalBound. */
     private static final long WATCH_MICROS = 1_000_000;
+
     private static final long DIRECT_TIMEOUT_MICROS = 2_000_000;
     /** How far ahead arrays are booked, in reports: about the time until a machine could be told otherwise. */
     private static final double AHEAD_REPORTS = 0.75;
     /** Cycles that begin this late show that the processor does not keep up. */
     private static final long PRESSED_MICROS = 100_000;
+
     private static final long STATUS_MICROS = 30_000_000;
 
     private final Parts parts;
@@ -62,6 +65,7 @@
     private final RenewalBound renewals;
     /** Open jobs whose own record can't be read: what else is on record of them is left as it is. */
     private final Set<String> unreadable = new HashSet<>();
+
     private boolean loaded;
     private long nextStatusMicros;
     private long earliestCycleMicros;
@@ -69,9 +73,17 @@
     private int directInFlight;
 
     /** What a term works with; all of it outlives the term. */
-    public record Parts(Store store, Cloud cloud, Caller caller, Clock clock, Timers timers, Settings settings,
-            Tuning tuning, Leadership leadership, TypesDuty types, Outage outage) {
-    }
+    public record Parts(
+            Store store,
+            Cloud cloud,
+            Caller caller,
+            Clock clock,
+            Timers timers,
+            Settings settings,
+            Tuning tuning,
+            Leadership leadership,
+            TypesDuty types,
+            Outage outage) {}
 
     /** Whether the state service, when it does not serve this node, serves no other either, by their own word. */
     public interface Outage {
@@ -85,10 +97,17 @@
         this.startedMicros = parts.clock().nowMicros();
         this.renewals = new RenewalBound(parts.settings().workers());
         this.outlook = new Outlook(board, parts.settings());
-        this.reconciler = new Reconciler(board, token, parts.settings().workers().leaseMicros());
-        this.mostTasksPerAdmission = Recorder.mostTasksPerAdmission(parts.settings().state());
-        this.recorder = new Recorder(parts.store(), parts.clock(), parts.timers(), parts.settings().state(),
-                epochVersion, new Recorder.Events() {
+        this.reconciler =
+                new Reconciler(board, token, parts.settings().workers().leaseMicros());
+        this.mostTasksPerAdmission =
+                Recorder.mostTasksPerAdmission(parts.settings().state());
+        this.recorder = new Recorder(
+                parts.store(),
+                parts.clock(),
+                parts.timers(),
+                parts.settings().state(),
+                epochVersion,
+                new Recorder.Events() {
                     @Override
                     public void recorded(Job job) {
                         soon();
@@ -104,8 +123,16 @@
                         parts.leadership().doubt();
                     }
                 });
-        this.fleet = new FleetKeeper(board, parts.cloud(), parts.types(), parts.settings(), parts.tuning(), token,
-                parts.clock(), parts.timers(), new FleetKeeper.Office() {
+        this.fleet = new FleetKeeper(
+                board,
+                parts.cloud(),
+                parts.types(),
+                parts.settings(),
+                parts.tuning(),
+                token,
+                parts.clock(),
+                parts.timers(),
+                new FleetKeeper.Office() {
                     @Override
                     public boolean holds() {
                         return parts.leadership().leaseHolds();
@@ -167,8 +194,11 @@
             }
             restore(slices.entries(), done.entries());
             loaded = true;
-            LOG.info("token {}: took over {} open jobs, {} records, {} ms after its election", token,
-                    board.jobs.size(), slices.entries().size() + done.entries().size(),
+            LOG.info(
+                    "token {}: took over {} open jobs, {} records, {} ms after its election",
+                    token,
+                    board.jobs.size(),
+                    slices.entries().size() + done.entries().size(),
                     (clock.nowMicros() - startedMicros) / 1000);
             wakeIn(0);
         }));
@@ -198,11 +228,14 @@
         for (Store.Entry entry : slices) {
             Job job = board.jobs.get(Keys.jobOf(entry.key()));
             if (job != null) {
-                restore(job, entry, () -> SliceCodec.visit(entry.value(), (machineName, attempt, first, last) -> {
-                    for (int task = first; task <= last && task < job.spec.tasks(); task++) {
-                        restore(job, task, attempt, machineName, entry.key(), nowMicros);
-                    }
-                }));
+                restore(
+                        job,
+                        entry,
+                        () -> SliceCodec.visit(entry.value(), (machineName, attempt, first, last) -> {
+                            for (int task = first; task <= last && task < job.spec.tasks(); task++) {
+                                restore(job, task, attempt, machineName, entry.key(), nowMicros);
+                            }
+                        }));
             }
         }
         recorder.sweep(orphans);
@@ -213,8 +246,7 @@
         try {
             read.run();
         } catch (RuntimeException unreadable) {
-            LOG.error("{}: can't be read, so that nothing is done for its job: {}", entry.key(),
-                    unreadable.toString());
+            LOG.error("{}: can't be read, so that nothing is done for its job: {}", entry.key(), unreadable.toString());
             job.stale = true;
         }
     }
@@ -355,9 +387,11 @@
         if (machine.type == null) {
             machine.type = parts.types().byName(report.type());
         }
-        // While the state service refuses this node, or as long as it has not read again since, others may have confirmed
+        // While the state service refuses this node, or as long as it has not read again since, others may have
+        // confirmed
         // cancellations: what is started then would be halted, but it would have been started.
-        boolean mayStart = parts.leadership().leaseHolds() && parts.store().failingSinceMicros() < 0
+        boolean mayStart = parts.leadership().leaseHolds()
+                && parts.store().failingSinceMicros() < 0
                 && renewals.isFreshAt(nowMicros);
         Reconciler.Result result = reconciler.report(machine, report, mayStart, nowMicros);
         reply.send(200, CheckinCodec.answer(token, result.orders()));
@@ -373,7 +407,8 @@
      */
     private boolean mayRenewWorkers(long nowMicros) {
         return renewals.allowAt(nowMicros)
-                && (nowMicros < parts.leadership().leaseEndMicros() || parts.outage().isShared());
+                && (nowMicros < parts.leadership().leaseEndMicros()
+                        || parts.outage().isShared());
     }
 
     // The cycle
@@ -408,8 +443,7 @@
             fleet.start();
         }
         direct();
-        earliestCycleMicros =
-                clock.nowMicros() + PAUSE_EACH_MICROS * (board.machines.size() + board.jobs.size());
+        earliestCycleMicros = clock.nowMicros() + PAUSE_EACH_MICROS * (board.machines.size() + board.jobs.size());
         if (nowMicros >= nextStatusMicros && !(board.jobs.isEmpty() && board.machines.isEmpty())) {
             nextStatusMicros = nowMicros + STATUS_MICROS;
             LOG.info("token {}: {}", token, status());
@@ -435,14 +469,18 @@
             booked += job.bookings.size();
             if (job.spec.service() && !job.cancelled) {
                 replicas += job.spec.tasks();
-                replicasRunning += (int) job.bookings.values().stream().filter(Booking::running).count();
+                replicasRunning += (int)
+                        job.bookings.values().stream().filter(Booking::running).count();
                 replicasWaiting += job.pending.cardinality();
             }
         }
         return board.jobs.size() + " jobs open, " + booked + " tasks booked, " + pending + " waiting ("
                 + waitingByQuota + " for their team's limit); "
-                + (replicas == 0 ? "" : replicas + " replicas wanted, " + replicasRunning + " running, " + replicasWaiting
-                        + " waiting for a place, " + (replicas - replicasRunning - replicasWaiting) + " booked or leaving; ")
+                + (replicas == 0
+                        ? ""
+                        : replicas + " replicas wanted, " + replicasRunning + " running, " + replicasWaiting
+                                + " waiting for a place, " + (replicas - replicasRunning - replicasWaiting)
+                                + " booked or leaving; ")
                 + up + " machines up, " + quiet + " silent, "
                 + (board.machines.size() - up) + " coming; " + fleet.spending();
     }
@@ -478,7 +516,10 @@
             long fetchMicros = Math.round(job.spec.imageGb() / Math.max(0.01, rate) * 2e6);
             boolean late = nowMicros - booking.bookedMicros > waitMicros + fetchMicros + 15_000_000;
             if (late && !booking.running() && !booking.stop) {
-                LOG.info("{} attempt {} did not start in time on {}", booking.name, booking.attempt,
+                LOG.info(
+                        "{} attempt {} did not start in time on {}",
+                        booking.name,
+                        booking.attempt,
                         booking.machine.name);
                 board.evict(job, job.spec.saveMicros());
                 return;
@@ -503,8 +544,7 @@
     }
 
     private void stop(Booking booking) {
-        long graceMicros = booking.job.spec.checkpointMicros() > 0
-                ? booking.job.spec.saveMicros() + 1_000_000 : 0;
+        long graceMicros = booking.job.spec.checkpointMicros() > 0 ? booking.job.spec.saveMicros() + 1_000_000 : 0;
         if (booking.job.spec.gang()) {
             board.evict(booking.job, graceMicros);
         } else {
@@ -513,9 +553,10 @@
     }
 
     private void admit(long nowMicros) {
-        Decisions decisions = Planner.decide(outlook.snapshot(nowMicros, fleet::soughtBy),
-                new Planner.Bounds(mostTasksPerAdmission, recorder.mostAdmissions(),
-                        (long) (parts.settings().workers().reportMicros() * AHEAD_REPORTS)));
+        Decisions decisions = Planner.decide(
+                outlook.snapshot(nowMicros, fleet::soughtBy),
+                new Planner.Bounds(mostTasksPerAdmission, recorder.mostAdmissions(), (long)
+                        (parts.settings().workers().reportMicros() * AHEAD_REPORTS)));
         for (Decisions.Stop stop : decisions.stops()) {
             Job job = board.jobs.get(stop.job());
             Booking booking = job == null ? null : job.bookings.get(stop.task());
@@ -541,7 +582,11 @@
         });
         recorder.admit(job, attempt, booked, onRecord -> {
             if (onRecord) {
-                LOG.debug("{} attempt {}: {} tasks admitted on {}", job.spec.id(), attempt, booked.size(),
+                LOG.debug(
+                        "{} attempt {}: {} tasks admitted on {}",
+                        job.spec.id(),
+                        attempt,
+                        booked.size(),
                         tasks.keySet());
                 booked.forEach(booking -> {
                     booking.persisted = true;
@@ -558,7 +603,10 @@
         waitingByQuota = 0;
         for (Decisions.Waiting item : waiting) {
             if (LOG.isDebugEnabled()) {
-                LOG.debug("{}: {} tasks wait for {}", item.spec().id(), item.tasks(),
+                LOG.debug(
+                        "{}: {} tasks wait for {}",
+                        item.spec().id(),
+                        item.tasks(),
                         item.byQuota() ? "their team's limit" : "room");
             }
             waitingByQuota += item.byQuota() ? item.tasks() : 0;
@@ -576,7 +624,10 @@
                 // The rest of a wave is told in the next cycle, or with the machines' next reports.
                 return;
             }
-            if (!machine.unsaid || machine.directInFlight || !machine.underToken || machine.released
+            if (!machine.unsaid
+                    || machine.directInFlight
+                    || !machine.underToken
+                    || machine.released
                     || machine.address == null) {
                 continue;
             }
@@ -602,12 +653,18 @@
             }
             machine.directInFlight = true;
             directInFlight++;
-            parts.caller().call(new Caller.Call(machine.address, "POST", "/orders",
-                    CheckinCodec.direct(token, machine.session, orders), DIRECT_TIMEOUT_MICROS),
-                    answer -> {
-                        machine.directInFlight = false;
-                        directInFlight--;
-                    });
+            parts.caller()
+                    .call(
+                            new Caller.Call(
+                                    machine.address,
+                                    "POST",
+                                    "/orders",
+                                    CheckinCodec.direct(token, machine.session, orders),
+                                    DIRECT_TIMEOUT_MICROS),
+                            answer -> {
+                                machine.directInFlight = false;
+                                directInFlight--;
+                            });
         }
     }
 }
--- a/src/main/java/org/weldcourse/app/Controller.java
+++ b/src/main/java/org/weldcourse/app/Controller.java
@@ -54,14 +54,13 @@
         this.peers = new Peers(clock, this);
         this.store = new Store(caller, clock, settings.stateAddress());
         Cloud cloud = new Cloud(caller, settings.cloudAddress());
-        this.leadership =
-                new Leadership(settings.nodeName(), store, clock, timers, tuning.stateLeaseMicros(), this);
+        this.leadership = new Leadership(settings.nodeName(), store, clock, timers, tuning.stateLeaseMicros(), this);
         this.types = new TypesDuty(store, cloud, clock, timers, leadership::leads);
         this.jobs = new JobApi(store, settings, clock, timers, types::known);
         this.status = new StatusDuty(timers);
         this.pulse = new StoreDuty(timers);
-        this.parts = new Term.Parts(store, cloud, caller, clock, timers, settings, tuning, leadership, types,
-                this::isOutageShared);
+        this.parts = new Term.Parts(
+                store, cloud, caller, clock, timers, settings, tuning, leadership, types, this::isOutageShared);
     }
 
     /** Alone among configured peers, a node can't tell an outage from being cut off, and has to think of the latter. */
@@ -107,7 +106,11 @@
 
     @Override
     public PeerStatus status() {
-        return new PeerStatus(settings.nodeName(), leadership.token(), leadership.leads(), reachesStore(),
+        return new PeerStatus(
+                settings.nodeName(),
+                leadership.token(),
+                leadership.leads(),
+                reachesStore(),
                 !leadership.leads() && whyNotReady() == null);
     }
 
@@ -137,7 +140,7 @@
             // It comes every second, so that its lateness tells of all others.
             strain.late(lateMicros());
             if (clock.nowMicros() - store.answeredMicros() >= PULSE_MICROS) {
-                store.get("epoch", read -> { });
+                store.get("epoch", read -> {});
             }
             return PULSE_MICROS;
         }
@@ -193,15 +196,16 @@
     private void checkin(Request request, Reply reply) {
         if (term == null || !leadership.leads()) {
             String leader = leadership.leaderName();
-            reply.send(421, leader == null || leader.equals(settings.nodeName())
-                    ? Map.of() : Json.of("foreman", leader));
+            reply.send(
+                    421, leader == null || leader.equals(settings.nodeName()) ? Map.of() : Json.of("foreman", leader));
             return;
         }
         Report report = CheckinCodec.report(request.body());
         if (report == null) {
             if (!saidUnreadable) {
                 saidUnreadable = true;
-                LOG.error("a report can't be read, and later ones like it are not mentioned: {}",
+                LOG.error(
+                        "a report can't be read, and later ones like it are not mentioned: {}",
                         new String(request.body(), 0, Math.min(200, request.body().length), StandardCharsets.UTF_8));
             }
             reply.send(400, Json.of("error", "not a report"));
@@ -215,7 +219,8 @@
         if (types.known().isEmpty()) {
             return "machine types are not known yet";
         }
-        if (!reachesStore() && clock.nowMicros() - store.failingSinceMicros() > UNREADY_AFTER_MICROS
+        if (!reachesStore()
+                && clock.nowMicros() - store.failingSinceMicros() > UNREADY_AFTER_MICROS
                 && !isOutageShared()) {
             // Refused here and served elsewhere, or cut off from all: users do better there. In an outage for all,
             // leaving helps nobody.
--- a/src/main/java/org/weldcourse/app/Main.java
+++ b/src/main/java/org/weldcourse/app/Main.java
@@ -19,8 +19,7 @@
     static final int FAILED = 1;
     static final int BAD_USAGE = 2;
 
-    private Main() {
-    }
+    private Main() {}
 
     public static void main(String[] args) {
         String level = System.getenv("LOG_LEVEL");
@@ -124,19 +123,31 @@
     }
 
     private static CommandSpec main() {
-        return command("weldcourse", "Runs one controller of a weldcourse cluster.").version("weldcourse " + VERSION)
-                .addOption(OptionSpec.builder("-V", "--version").versionHelp(true)
-                        .description("Print the version and end.").build());
+        return command("weldcourse", "Runs one controller of a weldcourse cluster.")
+                .version("weldcourse " + VERSION)
+                .addOption(OptionSpec.builder("-V", "--version")
+                        .versionHelp(true)
+                        .description("Print the version and end.")
+                        .build());
     }
 
     private static CommandSpec command(String name, String description) {
-        CommandSpec spec = CommandSpec.create().name(name)
-                .addOption(OptionSpec.builder("--config").paramLabel("FILE").type(Path.class)
-                        .description("The platform's settings file (TOML).").build())
-                .addOption(OptionSpec.builder("--operators").paramLabel("FILE").type(Path.class)
-                        .description("Operators' own settings (XML); what is left out keeps its default.").build())
-                .addOption(OptionSpec.builder("-h", "--help").usageHelp(true)
-                        .description("Print this help and end.").build());
+        CommandSpec spec = CommandSpec.create()
+                .name(name)
+                .addOption(OptionSpec.builder("--config")
+                        .paramLabel("FILE")
+                        .type(Path.class)
+                        .description("The platform's settings file (TOML).")
+                        .build())
+                .addOption(OptionSpec.builder("--operators")
+                        .paramLabel("FILE")
+                        .type(Path.class)
+                        .description("Operators' own settings (XML); what is left out keeps its default.")
+                        .build())
+                .addOption(OptionSpec.builder("-h", "--help")
+                        .usageHelp(true)
+                        .description("Print this help and end.")
+                        .build());
         spec.usageMessage().description(description);
         return spec;
     }
--- a/src/main/java/org/weldcourse/app/Node.java
+++ b/src/main/java/org/weldcourse/app/Node.java
@@ -45,9 +45,16 @@
         NettyCaller caller = new NettyCaller(eventLoop, this::idleSockets);
         this.controller = new Controller(settings, tuning, caller, loop, loop);
         int forOthers = settings.maxSockets() - settings.ownSockets();
-        this.server = new Server(eventLoop, controller, loop, new Server.Limits(forOthers,
-                (int) (forOthers * (1 - FOR_USERS)), REPORTS_OF_PATIENCE * settings.workers().reportMicros(),
-                LEASES_OF_SILENCE * settings.workers().leaseMicros()), caller::trim);
+        this.server = new Server(
+                eventLoop,
+                controller,
+                loop,
+                new Server.Limits(
+                        forOthers,
+                        (int) (forOthers * (1 - FOR_USERS)),
+                        REPORTS_OF_PATIENCE * settings.workers().reportMicros(),
+                        LEASES_OF_SILENCE * settings.workers().leaseMicros()),
+                caller::trim);
     }
 
     /** What others leave free may idle on the node's own calls: a new connection for each message costs more. */
@@ -63,14 +70,20 @@
         settings.peers().forEach(peerNet::speakTo);
         eventLoop.execute(controller::start);
         eventLoop.schedule(this::drill, DRILL_AFTER_MICROS, TimeUnit.MICROSECONDS);
-        LOG.info("version {}: {} in {} listens on {}", Main.VERSION, settings.nodeName(), settings.zone(), settings.listenAddress());
+        LOG.info(
+                "version {}: {} in {} listens on {}",
+                Main.VERSION,
+                settings.nodeName(),
+                settings.zone(),
+                settings.listenAddress());
     }
 
     /** In the time that is left over, a node that does not lead practises what a leader does. */
     private void drill() {
         Loop loop = new Loop(eventLoop);
         drill = new Drill(settings, loop, loop, () -> !controller.leads());
-        Server practice = new Server(eventLoop, drill, loop, new Server.Limits(1, 1, Long.MAX_VALUE, Long.MAX_VALUE), () -> { });
+        Server practice =
+                new Server(eventLoop, drill, loop, new Server.Limits(1, 1, Long.MAX_VALUE, Long.MAX_VALUE), () -> {});
         EmbeddedChannel line = new EmbeddedChannel();
         practice.serve(line);
         drill.through(request -> {
--- a/src/main/java/org/weldcourse/app/Strain.java
+++ b/src/main/java/org/weldcourse/app/Strain.java
@@ -13,10 +13,14 @@
     /** One line about the time since the last call. */
     String take() {
         Runtime runtime = Runtime.getRuntime();
-        String processor = ProcessHandle.current().info().totalCpuDuration()
-                .map(used -> "processor " + used.toMillis() / 1_000.0 + " s since the start, ").orElse("");
+        String processor = ProcessHandle.current()
+                .info()
+                .totalCpuDuration()
+                .map(used -> "processor " + used.toMillis() / 1_000.0 + " s since the start, ")
+                .orElse("");
         String line = processor + "late by " + mostLateMicros / 1_000 + " ms at most, heap "
-                + (runtime.totalMemory() - runtime.freeMemory()) / MEGABYTE + " of " + runtime.maxMemory() / MEGABYTE + " MB";
+                + (runtime.totalMemory() - runtime.freeMemory()) / MEGABYTE + " of " + runtime.maxMemory() / MEGABYTE
+                + " MB";
         mostLateMicros = 0;
         return line;
     }
--- a/src/main/java/org/weldcourse/fleet/Cloud.java
+++ b/src/main/java/org/weldcourse/fleet/Cloud.java
@@ -19,23 +19,33 @@
         this.address = address;
     }
 
-    public enum Outcome { OK, NO_CAPACITY, TROUBLE, UNKNOWN }
-
-    public record Rental(Outcome outcome, List<String> machines) {
+    public enum Outcome {
+        OK,
+        NO_CAPACITY,
+        TROUBLE,
+        UNKNOWN
     }
 
+    public record Rental(Outcome outcome, List<String> machines) {}
+
     /** {@code state} is the cloud's word for it. */
-    public record Listed(String name, String address, String type, String zone, boolean spot, boolean starting,
-            boolean failed, long ageMicros) {
-    }
+    public record Listed(
+            String name,
+            String address,
+            String type,
+            String zone,
+            boolean spot,
+            boolean starting,
+            boolean failed,
+            long ageMicros) {}
 
     public void types(Consumer<Map<String, Object>> then) {
         send("GET", "/machine_types", null, answer -> then.accept(answer.ok() ? answer.body() : null));
     }
 
     public void rent(String request, String type, String zone, boolean spot, int count, Consumer<Rental> then) {
-        Map<String, Object> body = Json.of("hire", request, "rig", type, "yard", zone, "loaners", spot,
-                "number", count);
+        Map<String, Object> body =
+                Json.of("hire", request, "rig", type, "yard", zone, "loaners", spot, "number", count);
         send("POST", "/machines", body, answer -> {
             List<String> names = new ArrayList<>();
             for (Object name : Json.list(answer.body().get("forges"))) {
@@ -44,8 +54,9 @@
                 }
             }
             boolean full = answer.status() == 503 && "no capacity".equals(Json.text(answer.body(), "error"));
-            Outcome outcome = answer.ok() ? Outcome.OK : full ? Outcome.NO_CAPACITY
-                    : answer.status() == 0 ? Outcome.UNKNOWN : Outcome.TROUBLE;
+            Outcome outcome = answer.ok()
+                    ? Outcome.OK
+                    : full ? Outcome.NO_CAPACITY : answer.status() == 0 ? Outcome.UNKNOWN : Outcome.TROUBLE;
             then.accept(new Rental(outcome, names));
         });
     }
@@ -73,9 +84,15 @@
                 if (Json.text(forge, "name_id") == null) {
                     continue;
                 }
-                found.add(new Listed(Json.text(forge, "name_id"), Json.text(forge, "addr"), Json.text(forge, "rig"),
-                        Json.text(forge, "yard"), Json.flag(forge, "loaners"), "starting".equals(heat),
-                        "failed".equals(heat), Math.round(Json.decimal(forge, "held_s", 0) * 1e6)));
+                found.add(new Listed(
+                        Json.text(forge, "name_id"),
+                        Json.text(forge, "addr"),
+                        Json.text(forge, "rig"),
+                        Json.text(forge, "yard"),
+                        Json.flag(forge, "loaners"),
+                        "starting".equals(heat),
+                        "failed".equals(heat),
+                        Math.round(Json.decimal(forge, "held_s", 0) * 1e6)));
             }
             if (Json.flag(answer.body(), "has_next") && !found.isEmpty()) {
                 page(found.get(found.size() - 1).name(), found, then);
--- a/src/main/java/org/weldcourse/fleet/FleetKeeper.java
+++ b/src/main/java/org/weldcourse/fleet/FleetKeeper.java
@@ -30,6 +30,7 @@
     private static final long REFUSED_MICROS = 15_000_000;
     /** A machine is charged for this long at least, with a little less so that it goes before the next second. */
     private static final long LEAST_CHARGED_MICROS = 58_000_000;
+
     private static final double LOAD_MEMORY_MICROS = 60e6;
     private static final long TAKEN_MARGIN_MICROS = 1_000_000;
     private static final double SPOT_PATIENCE = 0.6;
@@ -57,11 +58,13 @@
     private final Map<String, Long> lastSeenMicros = new HashMap<>();
     /** Names whose release was answered: the lagging list and late reports still speak of them for a while. */
     private final Set<String> releasedNames = new HashSet<>();
+
     private final ArrayDeque<Runnable> again = new ArrayDeque<>();
     private List<FleetPlanner.Need> needs = List.of();
     private Set<String> held = Set.of();
     /** By class with an aim for its start: the part of the CPUs it may use that it had of late. */
     private final Map<String, Double> soughtLoad = new HashMap<>();
+
     private final Spending spending = new Spending();
     private long nextListMicros;
     private long requests;
@@ -80,8 +83,16 @@
         void machinesGone();
     }
 
-    public FleetKeeper(Board board, Cloud cloud, TypesDuty types, Settings settings, Tuning tuning, long token,
-            Clock clock, Timers timers, Office office) {
+    public FleetKeeper(
+            Board board,
+            Cloud cloud,
+            TypesDuty types,
+            Settings settings,
+            Tuning tuning,
+            long token,
+            Clock clock,
+            Timers timers,
+            Office office) {
         super("fleet", clock, timers);
         this.board = board;
         this.cloud = cloud;
@@ -90,7 +101,9 @@
         this.tuning = tuning;
         this.token = token;
         this.office = office;
-        this.calls = new Pacer(clock, settings.cloud().requestsPerSecond() * 0.8,
+        this.calls = new Pacer(
+                clock,
+                settings.cloud().requestsPerSecond() * 0.8,
                 settings.cloud().requestsPerSecond());
         this.startedMicros = clock.nowMicros();
     }
@@ -261,12 +274,13 @@
         List<FleetPlanner.Need> wanted = new ArrayList<>(needs);
         for (JobSpec shape : startAims.values()) {
             int missing = tuning.warmMachines() - openHosts(shape, nowMicros);
-            if (missing > 0 && wanted.stream().noneMatch(need -> need.job().jobClass().equals(shape.jobClass()))) {
+            if (missing > 0
+                    && wanted.stream().noneMatch(need -> need.job().jobClass().equals(shape.jobClass()))) {
                 wanted.add(new FleetPlanner.Need(shape, missing, shape.estimateMicros(), nowMicros));
             }
         }
-        List<FleetPlanner.Rental> plan = FleetPlanner.plan(wanted, hosts, types.known(), refusedUntil.keySet(),
-                MOST_NEW_AT_ONCE, nowMicros);
+        List<FleetPlanner.Rental> plan =
+                FleetPlanner.plan(wanted, hosts, types.known(), refusedUntil.keySet(), MOST_NEW_AT_ONCE, nowMicros);
         for (FleetPlanner.Rental rental : plan) {
             if (calls.tryTake(1)) {
                 // The token is this term's alone and the counter never repeats: no name is used twice.
@@ -298,8 +312,8 @@
     }
 
     private FleetPlanner.Host host(Machine machine, boolean booting, long nowMicros) {
-        long availableAtMicros = booting
-                ? Math.max(nowMicros + 5_000_000, machine.sinceMicros + machine.type.bootMicros()) : nowMicros;
+        long availableAtMicros =
+                booting ? Math.max(nowMicros + 5_000_000, machine.sinceMicros + machine.type.bootMicros()) : nowMicros;
         double busyCpuMicros = 0;
         double heldCpus = 0;
         for (Booking booking : machine.bookings.values()) {
@@ -309,8 +323,15 @@
                 busyCpuMicros += board.runTimes.leftMicros(booking, nowMicros) * booking.job.spec.cpus();
             }
         }
-        return new FleetPlanner.Host(machine.type, machine.zone, machine.spot, booting, availableAtMicros,
-                busyCpuMicros, heldCpus, takenShares(machine));
+        return new FleetPlanner.Host(
+                machine.type,
+                machine.zone,
+                machine.spot,
+                booting,
+                availableAtMicros,
+                busyCpuMicros,
+                heldCpus,
+                takenShares(machine));
     }
 
     private void rent(String request, Offer offer, int count) {
@@ -330,8 +351,13 @@
                         machine.spot = offer.spot();
                         machine.starting = true;
                     }
-                    LOG.info("rented {} of {} {} in {}{}", rental.machines().size(), count, offer.type(),
-                            offer.zone(), offer.spot() ? ", spot" : "");
+                    LOG.info(
+                            "rented {} of {} {} in {}{}",
+                            rental.machines().size(),
+                            count,
+                            offer.type(),
+                            offer.zone(),
+                            offer.spot() ? ", spot" : "");
                     if (rental.machines().size() < count) {
                         refusedUntil.put(offer, nowMicros + REFUSED_MICROS);
                     }
@@ -347,14 +373,14 @@
 
     /** Later than nearly all machines come up: another is rented in its place if the work still waits. */
     private static boolean overdue(Machine machine, long nowMicros) {
-        return machine.type != null
-                && nowMicros - machine.sinceMicros > machine.type.bootMicros() * 8 / 5 + 5_000_000;
+        return machine.type != null && nowMicros - machine.sinceMicros > machine.type.bootMicros() * 8 / 5 + 5_000_000;
     }
 
     /** Later than is worth paying for. */
     private static boolean hopeless(Machine machine, long nowMicros) {
-        return machine.type != null && nowMicros - machine.sinceMicros
-                > Math.max(LEAST_CHARGED_MICROS, machine.type.bootMicros() * 5 / 2 + 10_000_000);
+        return machine.type != null
+                && nowMicros - machine.sinceMicros
+                        > Math.max(LEAST_CHARGED_MICROS, machine.type.bootMicros() * 5 / 2 + 10_000_000);
     }
 
     /** Machines, up or on their way, that could take a job of this shape without waiting for its equals. */
@@ -369,9 +395,14 @@
     }
 
     private boolean canHost(Machine machine, JobSpec shape, long nowMicros) {
-        if (machine.type == null || machine.releasing || machine.released || machine.failed
-                || machine.takenBackAtMicros != Long.MAX_VALUE || !machine.isUp() && overdue(machine, nowMicros)
-                || !machine.type.fits(shape) || machine.spot && !shape.spot()) {
+        if (machine.type == null
+                || machine.releasing
+                || machine.released
+                || machine.failed
+                || machine.takenBackAtMicros != Long.MAX_VALUE
+                || !machine.isUp() && overdue(machine, nowMicros)
+                || !machine.type.fits(shape)
+                || machine.spot && !shape.spot()) {
             return false;
         }
         double cpus = machine.type.cpus();
@@ -392,8 +423,8 @@
         Map<String, Integer> spare = new HashMap<>();
         startAims.forEach((name, shape) -> spare.put(name, openHosts(shape, nowMicros) - tuning.warmMachines()));
         List<Machine> dearestFirst = new ArrayList<>(board.machines.values());
-        dearestFirst.sort(Comparator.comparingDouble(FleetKeeper::pricePerCpu).reversed()
-                .thenComparing(machine -> machine.name));
+        dearestFirst.sort(
+                Comparator.comparingDouble(FleetKeeper::pricePerCpu).reversed().thenComparing(machine -> machine.name));
         for (Machine machine : dearestFirst) {
             String why = whyRelease(machine, nowMicros);
             if (why == null && mayGo(machine, spare, nowMicros)) {
@@ -401,8 +432,8 @@
             }
             if (why != null && names.size() < 100) {
                 if (!machine.releasing) {
-                    LOG.info("returns {} ({}): {}", machine.name, machine.type == null ? "?" : machine.type.name(),
-                            why);
+                    LOG.info(
+                            "returns {} ({}): {}", machine.name, machine.type == null ? "?" : machine.type.name(), why);
                 }
                 names.add(machine.name);
             }
@@ -454,7 +485,9 @@
                 // Known only from an earlier leader's records, and not heard of since.
                 return waitedMicros > settings.workers().leaseMicros() + 5_000_000 ? "silent" : null;
             }
-            return hopeless(machine, nowMicros) && waitedMicros > settings.workers().leaseMicros() ? "never came up"
+            return hopeless(machine, nowMicros)
+                            && waitedMicros > settings.workers().leaseMicros()
+                    ? "never came up"
                     : null;
         }
         long silentMicros = nowMicros - machine.heardMicros;
@@ -471,7 +504,8 @@
         if (hearsMost && machine.isDeafFor(settings.workers().leaseMicros(), nowMicros)) {
             return "its reports arrive, answers don't reach it";
         }
-        // A spot machine that falls silent was most likely taken; an ordinary one may be cut off and working. But the time
+        // A spot machine that falls silent was most likely taken; an ordinary one may be cut off and working. But the
+        // time
         // of replicas on it is lost either way, and its return is what lets them run elsewhere.
         double patience = (hearsMost ? 1 : 2) * (machine.spot || holdsReplicas(machine) ? SPOT_PATIENCE : 1);
         return silentMicros > patience * silenceMicros() ? "silent" : null;
@@ -504,7 +538,10 @@
     }
 
     private boolean mayGo(Machine machine, Map<String, Integer> spare, long nowMicros) {
-        if (!machine.isUp() || held.contains(machine.name) || !machine.bookings.isEmpty() || !machine.strangers.isEmpty()
+        if (!machine.isUp()
+                || held.contains(machine.name)
+                || !machine.bookings.isEmpty()
+                || !machine.strangers.isEmpty()
                 || nowMicros - machine.idleSinceMicros < holdMicros(machine)
                 || nowMicros - machine.sinceMicros < LEAST_CHARGED_MICROS) {
             return false;
--- a/src/main/java/org/weldcourse/fleet/FleetPlanner.java
+++ b/src/main/java/org/weldcourse/fleet/FleetPlanner.java
@@ -25,28 +25,38 @@
 
     private static final long NEVER = Long.MAX_VALUE;
 
-    private FleetPlanner() {
-    }
+    private FleetPlanner() {}
 
     /** A kind of machine in a place: what a rental request names. */
-    public record Offer(String type, String zone, boolean spot) {
-    }
+    public record Offer(String type, String zone, boolean spot) {}
 
     /**
      * A machine from when it can take work, the work that is on it already, and by the rank of what waits now the part
      * of it that more important work is likely to take. Services hold {@code heldCpus} for good.
      */
-    public record Host(MachineType type, String zone, boolean spot, boolean booting, long availableAtMicros,
-            double busyCpuMicros, double heldCpus, double[] takenShares) {
-    }
+    public record Host(
+            MachineType type,
+            String zone,
+            boolean spot,
+            boolean booting,
+            long availableAtMicros,
+            double busyCpuMicros,
+            double heldCpus,
+            double[] takenShares) {}
 
     /**
      * Tasks that wait, in order of importance, each expected to run so long, with such a gap from one to the next on its
      * place, all of them due at a time. A gang waits for all its places, of which {@code freeByZone} are there. Of a job that
      * has to be spread, {@code takenByZone} says where its other tasks are.
      */
-    public record Need(JobSpec job, int tasks, long runMicros, long gapMicros, long dueMicros,
-            Map<String, Integer> freeByZone, Map<String, Integer> takenByZone) {
+    public record Need(
+            JobSpec job,
+            int tasks,
+            long runMicros,
+            long gapMicros,
+            long dueMicros,
+            Map<String, Integer> freeByZone,
+            Map<String, Integer> takenByZone) {
         public Need(JobSpec job, int tasks, long runMicros, long dueMicros) {
             this(job, tasks, runMicros, 0, dueMicros, Map.of(), Map.of());
         }
@@ -61,8 +71,7 @@
         }
     }
 
-    public record Rental(Offer offer, int count) {
-    }
+    public record Rental(Offer offer, int count) {}
 
     /** What is left of a host as needs take from it: whole slots for gangs, work for arrays. */
     private static final class Supply {
@@ -80,9 +89,12 @@
 
         /** Whole places for a gang's tasks. */
         int slots(Need need) {
-            return gangCpus <= 0 || !allowed(need.job(), host) ? 0
-                    : (int) Math.min(host.type().tasksThatFit(need.job()),
-                            Math.floor((gangCpus + MachineType.EPSILON) / need.job().cpus()));
+            return gangCpus <= 0 || !allowed(need.job(), host)
+                    ? 0
+                    : (int) Math.min(
+                            host.type().tasksThatFit(need.job()),
+                            Math.floor((gangCpus + MachineType.EPSILON)
+                                    / need.job().cpus()));
         }
 
         /** Work of the need that it can do by the time it is due. */
@@ -93,8 +105,13 @@
             if (!allowed(need.job(), host) || runs <= 0) {
                 return 0;
             }
-            double most = EFFICIENCY * Math.max(0, 1 - heldCpus / host.type().cpus()) * (1 - host.takenShares()[need.job().rank().ordinal()]) * host.type().tasksThatFit(need.job())
-                    * need.job().cpus() * runs * need.runMicros();
+            double most = EFFICIENCY
+                    * Math.max(0, 1 - heldCpus / host.type().cpus())
+                    * (1 - host.takenShares()[need.job().rank().ordinal()])
+                    * host.type().tasksThatFit(need.job())
+                    * need.job().cpus()
+                    * runs
+                    * need.runMicros();
             return Math.max(0, most - usedCpuMicros);
         }
     }
@@ -103,8 +120,13 @@
         return host.type().fits(job) && job.allowsZone(host.zone()) && (job.spot() || !host.spot());
     }
 
-    public static List<Rental> plan(List<Need> needs, List<Host> hosts, List<MachineType> types,
-            Set<Offer> refused, int mostMachines, long nowMicros) {
+    public static List<Rental> plan(
+            List<Need> needs,
+            List<Host> hosts,
+            List<MachineType> types,
+            Set<Offer> refused,
+            int mostMachines,
+            long nowMicros) {
         List<Supply> supplies = new ArrayList<>();
         hosts.forEach(host -> supplies.add(new Supply(host)));
         List<Offer> chosen = new ArrayList<>();
@@ -128,8 +150,14 @@
      * Those that are there count for that choice only: others may take them before the rest is up, and what is rented
      * too much is soon put to use by arrays, as machines that gangs fit on cost them no more.
      */
-    private static void planGang(Need need, List<Supply> supplies, List<MachineType> types, Set<Offer> refused,
-            int mostMachines, long nowMicros, List<Offer> chosen) {
+    private static void planGang(
+            Need need,
+            List<Supply> supplies,
+            List<MachineType> types,
+            Set<Offer> refused,
+            int mostMachines,
+            long nowMicros,
+            List<Offer> chosen) {
         if (!need.job().oneZone()) {
             rentForGang(need, null, supplies, types, refused, mostMachines, nowMicros, chosen);
             return;
@@ -155,7 +183,11 @@
             rentForGang(need, best, supplies, types, refused, mostMachines, nowMicros, chosen);
         } else {
             // What is on its way suffices, but it is spoken for now: the next gang must not count on it too.
-            takeSlots(need, best, need.tasks() - need.freeByZone().getOrDefault(best, 0), supplies,
+            takeSlots(
+                    need,
+                    best,
+                    need.tasks() - need.freeByZone().getOrDefault(best, 0),
+                    supplies,
                     new HashMap<>(need.takenByZone()));
         }
     }
@@ -176,8 +208,15 @@
         return missing;
     }
 
-    private static void rentForGang(Need need, String zone, List<Supply> supplies, List<MachineType> types,
-            Set<Offer> refused, int mostMachines, long nowMicros, List<Offer> chosen) {
+    private static void rentForGang(
+            Need need,
+            String zone,
+            List<Supply> supplies,
+            List<MachineType> types,
+            Set<Offer> refused,
+            int mostMachines,
+            long nowMicros,
+            List<Offer> chosen) {
         Map<String, Integer> taken = new HashMap<>(need.takenByZone());
         int left = takeSlots(need, zone, need.tasks(), supplies, taken);
         while (left > 0 && chosen.size() < mostMachines) {
@@ -185,7 +224,8 @@
             Choice best = choices(need, types, refused).stream()
                     .filter(choice -> zone == null || zone.equals(choice.offer.zone()))
                     .filter(choice -> leftIn(choice.offer.zone(), need, taken) > 0)
-                    .min(Choice.CHEAPEST).orElse(null);
+                    .min(Choice.CHEAPEST)
+                    .orElse(null);
             if (best == null) {
                 return;
             }
@@ -201,7 +241,8 @@
     }
 
     /** Takes places on what is there already, and returns how many are still missing. */
-    private static int takeSlots(Need need, String zone, int wanted, List<Supply> supplies, Map<String, Integer> takenByZone) {
+    private static int takeSlots(
+            Need need, String zone, int wanted, List<Supply> supplies, Map<String, Integer> takenByZone) {
         int left = wanted;
         for (Supply supply : supplies) {
             if (zone == null || zone.equals(supply.host.zone())) {
@@ -228,8 +269,15 @@
     }
 
     /** {@code carried}: by class, the work of jobs before this one that was too little for a machine of its own. */
-    private static void planArray(Need need, List<Supply> supplies, List<MachineType> types, Set<Offer> refused,
-            int mostMachines, long nowMicros, List<Offer> chosen, Map<String, Double> carried) {
+    private static void planArray(
+            Need need,
+            List<Supply> supplies,
+            List<MachineType> types,
+            Set<Offer> refused,
+            int mostMachines,
+            long nowMicros,
+            List<Offer> chosen,
+            Map<String, Double> carried) {
         double left = (double) need.tasks() * need.runMicros() * need.job().cpus();
         long dueMicros = Math.max(need.dueMicros(), soonest(need, types, refused, nowMicros));
         for (Supply supply : supplies) {
@@ -269,16 +317,21 @@
                 quickest = choice;
             }
         }
-        return quickest == null ? nowMicros : nowMicros + need.firstRunMicros(quickest.type)
-                + quickest.type.bootMicros() / 4 + need.runMicros() / 5;
+        return quickest == null
+                ? nowMicros
+                : nowMicros
+                        + need.firstRunMicros(quickest.type)
+                        + quickest.type.bootMicros() / 4
+                        + need.runMicros() / 5;
     }
 
     private record Choice(Offer offer, MachineType type, double cost) {
-        static final Comparator<Choice> CHEAPEST = Comparator.comparingDouble(Choice::cost)
-                .thenComparing(choice -> choice.offer.toString());
+        static final Comparator<Choice> CHEAPEST =
+                Comparator.comparingDouble(Choice::cost).thenComparing(choice -> choice.offer.toString());
 
         Supply supply(long nowMicros) {
-            return new Supply(new Host(type, offer.zone(), offer.spot(), true, nowMicros + type.bootMicros(), 0, 0, NOTHING_TAKEN));
+            return new Supply(new Host(
+                    type, offer.zone(), offer.spot(), true, nowMicros + type.bootMicros(), 0, 0, NOTHING_TAKEN));
         }
     }
 
@@ -297,15 +350,16 @@
                     if (spot && !need.job().spot() || !need.job().allowsZone(zone) || refused.contains(offer)) {
                         continue;
                     }
-                    choices.add(new Choice(offer, type, type.price(spot) / (used * need.job().cpus()) * boot));
+                    choices.add(new Choice(
+                            offer, type, type.price(spot) / (used * need.job().cpus()) * boot));
                 }
             }
         }
         return choices;
     }
 
-    private static Choice best(Need need, String zone, List<MachineType> types, Set<Offer> refused, long dueMicros,
-            long nowMicros) {
+    private static Choice best(
+            Need need, String zone, List<MachineType> types, Set<Offer> refused, long dueMicros, long nowMicros) {
         return choices(need, types, refused).stream()
                 .filter(choice -> zone == null || zone.equals(choice.offer.zone()))
                 .filter(choice -> dueMicros == NEVER || nowMicros + need.firstRunMicros(choice.type) <= dueMicros)
--- a/src/main/java/org/weldcourse/fleet/MachineType.java
+++ b/src/main/java/org/weldcourse/fleet/MachineType.java
@@ -7,14 +7,25 @@
 import org.weldcourse.jobs.JobSpec;
 
 /** A kind of machine that the cloud rents. Prices are per hour. */
-public record MachineType(String name, double cpus, double gpus, double memoryGb, double cacheGb,
-        double fetchGbPerSecond, double price, double spotPrice, long bootMicros, List<String> zones) {
+public record MachineType(
+        String name,
+        double cpus,
+        double gpus,
+        double memoryGb,
+        double cacheGb,
+        double fetchGbPerSecond,
+        double price,
+        double spotPrice,
+        long bootMicros,
+        List<String> zones) {
 
     public static final double EPSILON = 1e-6;
 
     /** Whether one task could ever run on an empty machine of this type. */
     public boolean fits(JobSpec job) {
-        if (!job.allowsType(name) || job.cpus() > cpus + EPSILON || job.gpus() > gpus + EPSILON
+        if (!job.allowsType(name)
+                || job.cpus() > cpus + EPSILON
+                || job.gpus() > gpus + EPSILON
                 || job.memoryGb() > memoryGb + EPSILON) {
             return false;
         }
@@ -50,10 +61,17 @@
             if (name == null || cpus <= 0) {
                 continue;
             }
-            types.add(new MachineType(name, cpus, Json.decimal(rig, "gpus", 0), Json.decimal(rig, "mem_gb", 0),
-                    Json.decimal(rig, "local_gb", 0), Json.decimal(rig, "pull_gb_per_s", 0.1),
-                    Json.decimal(rig, "price", 0), Json.decimal(rig, "spot_price", 0),
-                    Math.round(Json.decimal(rig, "ready_s", 60) * 1e6), List.copyOf(zones)));
+            types.add(new MachineType(
+                    name,
+                    cpus,
+                    Json.decimal(rig, "gpus", 0),
+                    Json.decimal(rig, "mem_gb", 0),
+                    Json.decimal(rig, "local_gb", 0),
+                    Json.decimal(rig, "pull_gb_per_s", 0.1),
+                    Json.decimal(rig, "price", 0),
+                    Json.decimal(rig, "spot_price", 0),
+                    Math.round(Json.decimal(rig, "ready_s", 60) * 1e6),
+                    List.copyOf(zones)));
         }
         return types;
     }
--- a/src/main/java/org/weldcourse/fleet/Spending.java
+++ b/src/main/java/org/weldcourse/fleet/Spending.java
@@ -48,7 +48,12 @@
 
     @Override
     public String toString() {
-        return String.format(Locale.ROOT, "spent %.3f running, %.3f fetching or waiting to run, %.3f idle, %.3f booting",
-                running, preparing, idle, booting);
+        return String.format(
+                Locale.ROOT,
+                "spent %.3f running, %.3f fetching or waiting to run, %.3f idle, %.3f booting",
+                running,
+                preparing,
+                idle,
+                booting);
     }
 }
--- a/src/main/java/org/weldcourse/fleet/TypesDuty.java
+++ b/src/main/java/org/weldcourse/fleet/TypesDuty.java
@@ -100,8 +100,7 @@
 
     /** Only nodes without a record and the leader ask the cloud, so this is seldom written. */
     private void remember(Map<String, Object> body) {
-        store.commit(new Txn().put(KEY, body), commit -> {
-        });
+        store.commit(new Txn().put(KEY, body), commit -> {});
     }
 
     private void next(long delayMicros) {
--- a/src/main/java/org/weldcourse/http/Caller.java
+++ b/src/main/java/org/weldcourse/http/Caller.java
@@ -10,7 +10,8 @@
      * A request; {@code body} is null where there is none. One that is {@code apart} has a connection of its own, so that it
      * never has to wait for another to be opened while those that stand are taken.
      */
-    record Call(String address, String method, String path, Map<String, Object> body, long timeoutMicros, boolean apart) {
+    record Call(
+            String address, String method, String path, Map<String, Object> body, long timeoutMicros, boolean apart) {
         public Call(String address, String method, String path, Map<String, Object> body, long timeoutMicros) {
             this(address, method, path, body, timeoutMicros, false);
         }
--- a/src/main/java/org/weldcourse/http/Json.java
+++ b/src/main/java/org/weldcourse/http/Json.java
@@ -16,11 +16,11 @@
 /** JSON by Jackson's streaming core, to and from plain maps, lists, strings, booleans and numbers. */
 public final class Json {
     private static final JsonFactory FACTORY = JsonFactory.builder()
-            .streamReadConstraints(StreamReadConstraints.builder().maxNestingDepth(32).build())
+            .streamReadConstraints(
+                    StreamReadConstraints.builder().maxNestingDepth(32).build())
             .build();
 
-    private Json() {
-    }
+    private Json() {}
 
     /** Thrown for bytes that are not one JSON value. */
     public static final class BadJson extends Exception {
@@ -82,7 +82,8 @@
             }
             case VALUE_NUMBER_INT -> {
                 return in.getNumberType() == JsonParser.NumberType.BIG_INTEGER
-                        ? (Object) in.getBigIntegerValue() : (Object) in.getLongValue();
+                        ? (Object) in.getBigIntegerValue()
+                        : (Object) in.getLongValue();
             }
             case VALUE_NUMBER_FLOAT -> {
                 return in.getDoubleValue();
--- a/src/main/java/org/weldcourse/http/NettyCaller.java
+++ b/src/main/java/org/weldcourse/http/NettyCaller.java
@@ -47,10 +47,13 @@
         String lines = call.apart() ? call.address() + APART : call.address();
         Line line = takeIdle(lines);
         Exchange exchange = new Exchange(call, done);
-        // A loop that is late finds what ran out before what came in meanwhile: an answer may long be there, so the sockets
+        // A loop that is late finds what ran out before what came in meanwhile: an answer may long be there, so the
+        // sockets
         // are looked at once more first. A leader that was busy lost its lease over renewals that had been answered.
-        exchange.timeout = loop.schedule(() -> exchange.timeout =
-                loop.schedule(exchange::giveUp, ONE_MORE_LOOK_MICROS, TimeUnit.MICROSECONDS), call.timeoutMicros(), TimeUnit.MICROSECONDS);
+        exchange.timeout = loop.schedule(
+                () -> exchange.timeout = loop.schedule(exchange::giveUp, ONE_MORE_LOOK_MICROS, TimeUnit.MICROSECONDS),
+                call.timeoutMicros(),
+                TimeUnit.MICROSECONDS);
         if (line != null) {
             line.send(exchange);
             return;
@@ -129,6 +132,7 @@
     private final class Line extends SimpleChannelInboundHandler<FullHttpResponse> {
         /** Under what it is kept while it idles. */
         private final String key;
+
         private ChannelHandlerContext context;
         private Exchange current;
 
@@ -146,8 +150,11 @@
             exchange.channel = context.channel();
             exchange.sent = true;
             byte[] body = exchange.call.body() == null ? new byte[0] : Json.bytes(exchange.call.body());
-            DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1,
-                    HttpMethod.valueOf(exchange.call.method()), exchange.call.path(), Unpooled.wrappedBuffer(body));
+            DefaultFullHttpRequest request = new DefaultFullHttpRequest(
+                    HttpVersion.HTTP_1_1,
+                    HttpMethod.valueOf(exchange.call.method()),
+                    exchange.call.path(),
+                    Unpooled.wrappedBuffer(body));
             request.headers().set(HttpHeaderNames.HOST, exchange.call.address());
             request.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.length);
             if (body.length > 0) {
--- a/src/main/java/org/weldcourse/http/OpenLines.java
+++ b/src/main/java/org/weldcourse/http/OpenLines.java
@@ -17,6 +17,7 @@
     private final Consumer<T> close;
     /** When each was last heard, the longest silent first. */
     private final Map<T, Long> workers = new LinkedHashMap<>();
+
     private final Map<T, Long> others = new LinkedHashMap<>();
 
     OpenLines(int most, int mostWorkers, long patienceMicros, Consumer<T> close) {
--- a/src/main/java/org/weldcourse/http/Server.java
+++ b/src/main/java/org/weldcourse/http/Server.java
@@ -55,8 +55,7 @@
      * How many connections there may be, and how many of them workers may have. One that is silent for the patience may
      * have to make room for another; one that is silent for {@code idleMicros} is closed in any case.
      */
-    public record Limits(int connections, int workers, long patienceMicros, long idleMicros) {
-    }
+    public record Limits(int connections, int workers, long patienceMicros, long idleMicros) {}
 
     public interface Handler {
         void handle(Request request, Reply reply);
@@ -67,8 +66,7 @@
         }
     }
 
-    public record Request(String method, String path, byte[] body) {
-    }
+    public record Request(String method, String path, byte[] body) {}
 
     /** Takes the one answer to a request. */
     public interface Reply {
@@ -107,7 +105,8 @@
                         channel.closeFuture().addListener(closed -> lines.closed(channel));
                         opened.run();
                         // Machines that died or were cut off say no goodbye.
-                        channel.pipeline().addLast(new IdleStateHandler(limits.idleMicros, 0, 0, TimeUnit.MICROSECONDS));
+                        channel.pipeline()
+                                .addLast(new IdleStateHandler(limits.idleMicros, 0, 0, TimeUnit.MICROSECONDS));
                         serve(channel);
                     }
                 })
@@ -117,7 +116,10 @@
 
     /** Reads requests from the channel and answers them on it. */
     public void serve(Channel channel) {
-        channel.pipeline().addLast(new HttpServerCodec()).addLast(new BoundedBodies()).addLast(new Connection());
+        channel.pipeline()
+                .addLast(new HttpServerCodec())
+                .addLast(new BoundedBodies())
+                .addLast(new Connection());
     }
 
     /** Gathers bodies, and answers one that is too large with 400: the protocol calls it malformed. */
@@ -129,8 +131,8 @@
         @Override
         protected void handleOversizedMessage(ChannelHandlerContext ctx, HttpMessage oversized) {
             byte[] bytes = Json.bytes(Json.of("error", "body over 64 KiB"));
-            DefaultFullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
-                    HttpResponseStatus.BAD_REQUEST, Unpooled.wrappedBuffer(bytes));
+            DefaultFullHttpResponse response = new DefaultFullHttpResponse(
+                    HttpVersion.HTTP_1_1, HttpResponseStatus.BAD_REQUEST, Unpooled.wrappedBuffer(bytes));
             response.headers().set(HttpHeaderNames.CONTENT_LENGTH, bytes.length);
             response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
             ctx.writeAndFlush(response).addListener(ChannelFutureListener.CLOSE);
@@ -142,10 +144,9 @@
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest message) {
             boolean keepAlive = HttpUtil.isKeepAlive(message);
-            Request request = new Request(message.method().name(), message.uri(),
-                    ByteBufUtil.getBytes(message.content()));
-            Reply reply = (status, body, retryAfterSeconds) ->
-                    respond(ctx, keepAlive, status, body, retryAfterSeconds);
+            Request request =
+                    new Request(message.method().name(), message.uri(), ByteBufUtil.getBytes(message.content()));
+            Reply reply = (status, body, retryAfterSeconds) -> respond(ctx, keepAlive, status, body, retryAfterSeconds);
             if (message.decoderResult().isFailure()) {
                 respond(ctx, false, 400, Json.of("error", "malformed request"), 0);
                 return;
@@ -162,11 +163,15 @@
             }
         }
 
-        private void respond(ChannelHandlerContext ctx, boolean keepAlive, int status, Map<String, Object> body,
+        private void respond(
+                ChannelHandlerContext ctx,
+                boolean keepAlive,
+                int status,
+                Map<String, Object> body,
                 int retryAfterSeconds) {
             byte[] bytes = Json.bytes(body);
-            DefaultFullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
-                    HttpResponseStatus.valueOf(status), Unpooled.wrappedBuffer(bytes));
+            DefaultFullHttpResponse response = new DefaultFullHttpResponse(
+                    HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status), Unpooled.wrappedBuffer(bytes));
             response.headers().set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.APPLICATION_JSON);
             response.headers().set(HttpHeaderNames.CONTENT_LENGTH, bytes.length);
             if (retryAfterSeconds > 0) {
--- a/src/main/java/org/weldcourse/jobs/JobApi.java
+++ b/src/main/java/org/weldcourse/jobs/JobApi.java
@@ -33,6 +33,7 @@
     private final Types types;
     /** Final states, the only ones that may be remembered; made for the first of them, since it is dear to a start. */
     private Cache<String, Map<String, Object>> finals;
+
     private final JobView view;
     private final Traffic traffic = new Traffic();
     private int inFlight;
@@ -44,7 +45,11 @@
 
     public JobApi(Store store, Settings settings, Clock clock, Timers timers, Types types) {
         this.store = store;
-        this.view = new JobView(store, clock, timers, settings.state().requestsPerSecond(),
+        this.view = new JobView(
+                store,
+                clock,
+                timers,
+                settings.state().requestsPerSecond(),
                 settings.peers().size() + 1);
         this.settings = settings;
         this.clock = clock;
@@ -94,12 +99,20 @@
     }
 
     private void put(JobSpec spec, long nowWallMicros, int tries, Reply reply) {
-        Txn txn = new Txn().guard(Keys.open(spec.id()), 0).guard(Keys.done(spec.id()), 0)
+        Txn txn = new Txn()
+                .guard(Keys.open(spec.id()), 0)
+                .guard(Keys.done(spec.id()), 0)
                 .put(Keys.open(spec.id()), JobCodec.record(spec, nowWallMicros, false));
         store.commit(txn, commit -> {
             if (commit.outcome() == Outcome.OK) {
-                LOG.debug("{}: accepted, {} x {} tasks of {} CPUs, {} s each, due in {} s", spec.id(), spec.jobClass(),
-                        spec.tasks(), spec.cpus(), spec.estimateMicros() / 1e6, spec.deadlineMicros() / 1e6);
+                LOG.debug(
+                        "{}: accepted, {} x {} tasks of {} CPUs, {} s each, due in {} s",
+                        spec.id(),
+                        spec.jobClass(),
+                        spec.tasks(),
+                        spec.cpus(),
+                        spec.estimateMicros() / 1e6,
+                        spec.deadlineMicros() / 1e6);
                 reply.send(201, state(spec.id(), "queued", 0, 0));
             } else if (commit.outcome() == Outcome.NO) {
                 lookUp(spec.id(), reply, () -> reply.refuse(503, "try again", 1));
@@ -196,8 +209,11 @@
             } else if (read.outcome() != Outcome.OK) {
                 refuse(read.outcome(), reply);
             } else {
-                Map<String, Object> state = state(id, Json.text(read.entry().value(), "heat"),
-                        (int) Json.integer(read.entry().value(), "done", 0), 0);
+                Map<String, Object> state = state(
+                        id,
+                        Json.text(read.entry().value(), "heat"),
+                        (int) Json.integer(read.entry().value(), "done", 0),
+                        0);
                 remember(id, state);
                 reply.send(200, state);
             }
@@ -206,7 +222,10 @@
 
     private void remember(String id, Map<String, Object> state) {
         if (finals == null) {
-            finals = Caffeine.newBuilder().maximumSize(MOST_REMEMBERED).executor(Runnable::run).build();
+            finals = Caffeine.newBuilder()
+                    .maximumSize(MOST_REMEMBERED)
+                    .executor(Runnable::run)
+                    .build();
         }
         finals.put(id, state);
     }
@@ -225,7 +244,8 @@
             return "a task fits no allowed machine type";
         }
         int bytes = Json.bytes(JobCodec.record(spec, clock.wallMicros(), false)).length;
-        return bytes <= settings.state().safeValueBytes() ? null
+        return bytes <= settings.state().safeValueBytes()
+                ? null
                 : "its record of " + bytes + " bytes is larger than can be kept";
     }
 
--- a/src/main/java/org/weldcourse/jobs/JobCodec.java
+++ b/src/main/java/org/weldcourse/jobs/JobCodec.java
@@ -11,8 +11,7 @@
 public final class JobCodec {
     static final int MOST_TASKS = 100_000;
 
-    private JobCodec() {
-    }
+    private JobCodec() {}
 
     /** Names the field that is missing or invalid. */
     public static final class Malformed extends Exception {
@@ -34,19 +33,21 @@
         if (!isId(id)) {
             throw new Malformed("name_id");
         }
-        Shape shape = switch (text(body, "shape")) {
-            case "array" -> Shape.ARRAY;
-            case "ensemble" -> Shape.GANG;
-            case "service" -> Shape.SERVICE;
-            default -> throw new Malformed("shape");
-        };
-        Rank rank = switch (text(body, "rank")) {
-            case "prod" -> Rank.PRODUCTION;
-            case "urgent" -> Rank.HIGH;
-            case "normal" -> Rank.NORMAL;
-            case "idle" -> Rank.LOW;
-            default -> throw new Malformed("rank");
-        };
+        Shape shape =
+                switch (text(body, "shape")) {
+                    case "array" -> Shape.ARRAY;
+                    case "ensemble" -> Shape.GANG;
+                    case "service" -> Shape.SERVICE;
+                    default -> throw new Malformed("shape");
+                };
+        Rank rank =
+                switch (text(body, "rank")) {
+                    case "prod" -> Rank.PRODUCTION;
+                    case "urgent" -> Rank.HIGH;
+                    case "normal" -> Rank.NORMAL;
+                    case "idle" -> Rank.LOW;
+                    default -> throw new Malformed("rank");
+                };
         long tasks = Json.integer(body, "beads", 0);
         if (tasks < 1 || tasks > MOST_TASKS) {
             throw new Malformed("beads");
@@ -56,35 +57,89 @@
             throw new Malformed("cpus");
         }
         Object due = body.get("due_s");
-        return new JobSpec(id, text(body, "course"), text(body, "crew"), shape, rank, (int) tasks,
-                cpus, amount(body, "gpus"), amount(body, "mem_gb"),
-                text(body, "blank"), amount(body, "size_gb"), types(body), zone(body),
-                flag(body, "together"), flag(body, "apart"), flag(body, "loaners"),
-                micros(amount(body, "expected_s")), micros(amount(body, "tack_s")), micros(amount(body, "quench_s")),
+        return new JobSpec(
+                id,
+                text(body, "course"),
+                text(body, "crew"),
+                shape,
+                rank,
+                (int) tasks,
+                cpus,
+                amount(body, "gpus"),
+                amount(body, "mem_gb"),
+                text(body, "blank"),
+                amount(body, "size_gb"),
+                types(body),
+                zone(body),
+                flag(body, "together"),
+                flag(body, "apart"),
+                flag(body, "loaners"),
+                micros(amount(body, "expected_s")),
+                micros(amount(body, "tack_s")),
+                micros(amount(body, "quench_s")),
                 due == null ? 0 : micros(amount(body, "due_s")));
     }
 
     /** The record under {@code open/}: the user's words, the time of acceptance and whether it is cancelled. */
     public static Map<String, Object> record(JobSpec spec, long acceptedWallMicros, boolean cancelled) {
-        String shape = switch (spec.shape()) {
-            case ARRAY -> "array";
-            case GANG -> "ensemble";
-            case SERVICE -> "service";
-        };
-        String rank = switch (spec.rank()) {
-            case PRODUCTION -> "prod";
-            case HIGH -> "urgent";
-            case NORMAL -> "normal";
-            case LOW -> "idle";
-        };
-        return Json.of("name_id", spec.id(), "course", spec.jobClass(), "crew", spec.team(), "shape", shape,
-                "rank", rank, "beads", spec.tasks(), "cpus", spec.cpus(), "gpus", spec.gpus(),
-                "mem_gb", spec.memoryGb(), "blank", spec.image(), "size_gb", spec.imageGb(), "rigs", spec.types(),
-                "yard", spec.zone(), "together", spec.oneZone(), "apart", spec.spread(), "loaners", spec.spot(),
-                "expected_s", spec.estimateMicros() / 1e6, "tack_s", spec.checkpointMicros() / 1e6,
-                "quench_s", spec.saveMicros() / 1e6,
-                "due_s", spec.deadlineMicros() == 0 ? null : (Object) (spec.deadlineMicros() / 1e6),
-                "accepted", acceptedWallMicros, "cancelled", cancelled);
+        String shape =
+                switch (spec.shape()) {
+                    case ARRAY -> "array";
+                    case GANG -> "ensemble";
+                    case SERVICE -> "service";
+                };
+        String rank =
+                switch (spec.rank()) {
+                    case PRODUCTION -> "prod";
+                    case HIGH -> "urgent";
+                    case NORMAL -> "normal";
+                    case LOW -> "idle";
+                };
+        return Json.of(
+                "name_id",
+                spec.id(),
+                "course",
+                spec.jobClass(),
+                "crew",
+                spec.team(),
+                "shape",
+                shape,
+                "rank",
+                rank,
+                "beads",
+                spec.tasks(),
+                "cpus",
+                spec.cpus(),
+                "gpus",
+                spec.gpus(),
+                "mem_gb",
+                spec.memoryGb(),
+                "blank",
+                spec.image(),
+                "size_gb",
+                spec.imageGb(),
+                "rigs",
+                spec.types(),
+                "yard",
+                spec.zone(),
+                "together",
+                spec.oneZone(),
+                "apart",
+                spec.spread(),
+                "loaners",
+                spec.spot(),
+                "expected_s",
+                spec.estimateMicros() / 1e6,
+                "tack_s",
+                spec.checkpointMicros() / 1e6,
+                "quench_s",
+                spec.saveMicros() / 1e6,
+                "due_s",
+                spec.deadlineMicros() == 0 ? null : (Object) (spec.deadlineMicros() / 1e6),
+                "accepted",
+                acceptedWallMicros,
+                "cancelled",
+                cancelled);
     }
 
     /** Leaves out of a cancelled job's record what is not needed to end it; its team and size are, for the quota. */
--- a/src/main/java/org/weldcourse/jobs/JobSpec.java
+++ b/src/main/java/org/weldcourse/jobs/JobSpec.java
@@ -26,10 +26,19 @@
         long deadlineMicros) {
 
     /** From the most to the least important. */
-    public enum Rank { PRODUCTION, HIGH, NORMAL, LOW }
+    public enum Rank {
+        PRODUCTION,
+        HIGH,
+        NORMAL,
+        LOW
+    }
 
     /** Services have no end of their own: they run until their user cancels them. */
-    public enum Shape { ARRAY, GANG, SERVICE }
+    public enum Shape {
+        ARRAY,
+        GANG,
+        SERVICE
+    }
 
     public boolean gang() {
         return shape == Shape.GANG;
--- a/src/main/java/org/weldcourse/jobs/JobView.java
+++ b/src/main/java/org/weldcourse/jobs/JobView.java
@@ -18,6 +18,7 @@
 final class JobView {
     /** The part of the state service's requests that all nodes' reads together may take. */
     private static final double SHARE_OF_REQUESTS = 0.25;
+
     private static final long ADMISSIONS_MICROS = 1_000_000;
     private static final int MOST_WAITING = 400;
 
@@ -34,8 +35,7 @@
     private long nextReadMicros;
     private long nextAdmissionsMicros;
 
-    private record Waiting(String id, Then then) {
-    }
+    private record Waiting(String id, Then then) {}
 
     /** {@code found}: what the view now shows; null when it could not be brought up to date. */
     interface Then {
@@ -43,8 +43,7 @@
     }
 
     /** An open job; {@code admitted} counts the tasks that are on record as admitted, for display. */
-    record Shown(boolean open, boolean cancelled, int admitted) {
-    }
+    record Shown(boolean open, boolean cancelled, int admitted) {}
 
     JobView(Store store, Clock clock, Timers timers, double requestsPerSecond, int nodes) {
         this.store = store;
@@ -79,7 +78,7 @@
         if (clock.nowMicros() >= nextAdmissionsMicros) {
             // For display alone, so it may lag, and a failure to read it fails nobody.
             nextAdmissionsMicros = clock.nowMicros() + ADMISSIONS_MICROS;
-            admissions.update(outcome -> { });
+            admissions.update(outcome -> {});
         }
         open.update(outcome -> {
             for (Waiting one : asked) {
--- a/src/main/java/org/weldcourse/jobs/Keys.java
+++ b/src/main/java/org/weldcourse/jobs/Keys.java
@@ -6,8 +6,7 @@
     public static final String SLICES = "slices/";
     public static final String DONE_TASKS = "done/";
 
-    private Keys() {
-    }
+    private Keys() {}
 
     public static String open(String id) {
         return OPEN + id;
--- a/src/main/java/org/weldcourse/jobs/SliceCodec.java
+++ b/src/main/java/org/weldcourse/jobs/SliceCodec.java
@@ -17,18 +17,20 @@
 public final class SliceCodec {
     /** The frame of a record, with numbers of any length. */
     private static final int FRAME_BYTES = 80;
+
     private static final int MACHINE_BYTES = 6;
 
-    private SliceCodec() {
-    }
+    private SliceCodec() {}
 
     /** Tasks in ascending order, by machine and attempt. */
     public static final class Admitted {
         private final Map<String, TreeMap<Integer, BitSet>> byMachine = new LinkedHashMap<>();
 
         public Admitted add(String machine, int attempt, int task) {
-            byMachine.computeIfAbsent(machine, name -> new TreeMap<>())
-                    .computeIfAbsent(attempt, number -> new BitSet()).set(task);
+            byMachine
+                    .computeIfAbsent(machine, name -> new TreeMap<>())
+                    .computeIfAbsent(attempt, number -> new BitSet())
+                    .set(task);
             return this;
         }
 
@@ -58,8 +60,12 @@
                     for (int first = tasks.nextSetBit(0); first >= 0; ) {
                         int end = tasks.nextClearBit(first);
                         // A range of its own costs its machine and attempt once more at worst.
-                        int bytes = machine.getKey().length() + MACHINE_BYTES + digits(attempt.getKey()) + 1
-                                + range(first, end - 1).length() + 1;
+                        int bytes = machine.getKey().length()
+                                + MACHINE_BYTES
+                                + digits(attempt.getKey())
+                                + 1
+                                + range(first, end - 1).length()
+                                + 1;
                         if (used + bytes > mostBytes && !part.isEmpty()) {
                             parts.add(part);
                             part = new Admitted();
@@ -68,8 +74,10 @@
                         boolean known = part.byMachine.containsKey(machine.getKey())
                                 && part.byMachine.get(machine.getKey()).containsKey(attempt.getKey());
                         used += known ? range(first, end - 1).length() + 1 : bytes;
-                        part.byMachine.computeIfAbsent(machine.getKey(), name -> new TreeMap<>())
-                                .computeIfAbsent(attempt.getKey(), number -> new BitSet()).set(first, end);
+                        part.byMachine
+                                .computeIfAbsent(machine.getKey(), name -> new TreeMap<>())
+                                .computeIfAbsent(attempt.getKey(), number -> new BitSet())
+                                .set(first, end);
                         first = tasks.nextSetBit(end);
                     }
                 }
@@ -114,7 +122,14 @@
 
     /** {@code done} is null where finished tasks are kept elsewhere. */
     public static Map<String, Object> record(Admitted admitted, int lastAttempt, int writing, BitSet done) {
-        return Json.of("last", lastAttempt, "n", writing, "machines", admitted.machines(), "bits",
+        return Json.of(
+                "last",
+                lastAttempt,
+                "n",
+                writing,
+                "machines",
+                admitted.machines(),
+                "bits",
                 done == null ? null : bits(done));
     }
 
@@ -146,14 +161,18 @@
     }
 
     public static void visit(Map<String, Object> record, Visitor visitor) {
-        for (Map.Entry<String, Object> entry : Json.object(record.get("machines")).entrySet()) {
+        for (Map.Entry<String, Object> entry :
+                Json.object(record.get("machines")).entrySet()) {
             for (String part : ((String) entry.getValue()).split(";")) {
                 int colon = part.indexOf(':');
                 int attempt = Integer.parseInt(part.substring(0, colon));
                 for (String range : part.substring(colon + 1).split(",")) {
                     int dash = range.indexOf('-');
                     int first = Integer.parseInt(dash < 0 ? range : range.substring(0, dash));
-                    visitor.tasks(entry.getKey(), attempt, first,
+                    visitor.tasks(
+                            entry.getKey(),
+                            attempt,
+                            first,
                             dash < 0 ? first : Integer.parseInt(range.substring(dash + 1)));
                 }
             }
--- a/src/main/java/org/weldcourse/jobs/Traffic.java
+++ b/src/main/java/org/weldcourse/jobs/Traffic.java
@@ -8,6 +8,7 @@
 
     /** Made for the first request: a start should not have to wait for it. */
     private Histogram micros;
+
     private long refused;
 
     void answered(int status, long tookMicros) {
--- a/src/main/java/org/weldcourse/leadership/Leadership.java
+++ b/src/main/java/org/weldcourse/leadership/Leadership.java
@@ -18,6 +18,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(Leadership.class);
     /** How far a steady clock may run fast, with room to spare. */
     private static final double DRIFT = 0.001;
+
     private static final long RETRY_MICROS = 300_000;
     private static final long WATCH_MICROS = 20_000_000;
 
@@ -36,7 +37,11 @@
     private boolean busy;
     private int turn;
 
-    private enum Phase { LOOKING, FOLLOWING, LEADING }
+    private enum Phase {
+        LOOKING,
+        FOLLOWING,
+        LEADING
+    }
 
     /** Told of what changes; {@code elected} is followed by {@code deposed} before the next {@code elected}. */
     public interface Listener {
@@ -99,8 +104,7 @@
             LOG.info("{} seems to have ended: its lease is ended", name);
             long ending = leaderLease;
             leaderLease = 0;
-            store.endGrant(ending, outcome -> {
-            });
+            store.endGrant(ending, outcome -> {});
         }
     }
 
@@ -214,7 +218,9 @@
     }
 
     private void claim(long newToken, long lastVersion, long newLease, long sentMicros) {
-        Txn txn = new Txn().guard("leader", 0).guard("epoch", lastVersion)
+        Txn txn = new Txn()
+                .guard("leader", 0)
+                .guard("epoch", lastVersion)
                 .put("leader", Json.of("name", self, "token", newToken), newLease)
                 .put("epoch", Json.of("epoch", newToken));
         store.commit(txn, commit -> {
--- a/src/main/java/org/weldcourse/peers/PeerNet.java
+++ b/src/main/java/org/weldcourse/peers/PeerNet.java
@@ -33,6 +33,7 @@
     private static final int CONNECT_TIMEOUT_MILLIS = 1_000;
     /** Refusals in a row, after a connection that stood, that speak for an ended process. */
     private static final int REFUSALS_TO_BELIEVE = 2;
+
     private static final long RETRY_MICROS = 150_000;
 
     private final EventLoop loop;
@@ -78,7 +79,8 @@
                 gathered.limit(Math.min(gathered.capacity(), gathered.position() + bytes.readableBytes()));
                 bytes.readBytes(gathered);
                 gathered.flip();
-                for (PeerStatus status = PeerStatus.decode(gathered); status != null;
+                for (PeerStatus status = PeerStatus.decode(gathered);
+                        status != null;
                         status = PeerStatus.decode(gathered)) {
                     peers.heard(status);
                 }
@@ -130,8 +132,11 @@
                     refusals = 0;
                     long sinceMicros = clock.nowMicros();
                     // One that ends as soon as it stands would else be opened anew without a pause.
-                    connecting.channel().closeFuture().addListener(closed ->
-                            again(clock.nowMicros() - sinceMicros < BEAT_MICROS ? RETRY_MICROS : 0));
+                    connecting
+                            .channel()
+                            .closeFuture()
+                            .addListener(
+                                    closed -> again(clock.nowMicros() - sinceMicros < BEAT_MICROS ? RETRY_MICROS : 0));
                     speak(connecting.channel());
                     return;
                 }
--- a/src/main/java/org/weldcourse/peers/PeerStatus.java
+++ b/src/main/java/org/weldcourse/peers/PeerStatus.java
@@ -49,8 +49,12 @@
         long token = buffer.getLong();
         byte[] text = new byte[length - HEAD_BYTES];
         buffer.get(text);
-        return new PeerStatus(new String(text, StandardCharsets.UTF_8), token, (flags & LEADS) != 0,
-                (flags & REACHES_STORE) != 0, (flags & SERVES_USERS) != 0);
+        return new PeerStatus(
+                new String(text, StandardCharsets.UTF_8),
+                token,
+                (flags & LEADS) != 0,
+                (flags & REACHES_STORE) != 0,
+                (flags & SERVES_USERS) != 0);
     }
 
     /** The other side does not speak this protocol. */
--- a/src/main/java/org/weldcourse/peers/Peers.java
+++ b/src/main/java/org/weldcourse/peers/Peers.java
@@ -16,8 +16,7 @@
     private final Map<String, Heard> heard = new HashMap<>();
 
     /** {@code servesSinceMicros}: since when it has said without a pause that it serves users, or -1. */
-    private record Heard(PeerStatus status, long atMicros, long servesSinceMicros) {
-    }
+    private record Heard(PeerStatus status, long atMicros, long servesSinceMicros) {}
 
     /** The node that speaks and listens. */
     public interface Node {
@@ -43,8 +42,10 @@
         long nowMicros = clock.nowMicros();
         Heard before = heard.get(status.name());
         boolean goesOn = before != null && before.servesSinceMicros >= 0 && nowMicros - before.atMicros < FRESH_MICROS;
-        heard.put(status.name(), new Heard(status, nowMicros,
-                !status.servesUsers() ? -1 : goesOn ? before.servesSinceMicros : nowMicros));
+        heard.put(
+                status.name(),
+                new Heard(
+                        status, nowMicros, !status.servesUsers() ? -1 : goesOn ? before.servesSinceMicros : nowMicros));
         if (status.leads()) {
             node.peerLeads(status.name(), status.token());
         }
@@ -65,7 +66,8 @@
     public boolean serveUsers() {
         long nowMicros = clock.nowMicros();
         for (Heard one : heard.values()) {
-            if (one.servesSinceMicros >= 0 && nowMicros - one.atMicros < FRESH_MICROS
+            if (one.servesSinceMicros >= 0
+                    && nowMicros - one.atMicros < FRESH_MICROS
                     && nowMicros - one.servesSinceMicros >= FOUND_MICROS) {
                 return true;
             }
--- a/src/main/java/org/weldcourse/settings/Settings.java
+++ b/src/main/java/org/weldcourse/settings/Settings.java
@@ -21,8 +21,7 @@
 
     private static final int MOST_OWN_SOCKETS = 200;
 
-    public record Peer(String name, String zone, String address) {
-    }
+    public record Peer(String name, String zone, String address) {}
 
     /** A guarantee or limit of 0 in the file means none: no guarantee, no limit. */
     public record Team(String name, double cpus, double cpusMax, double gpus, double gpusMax) {
@@ -33,12 +32,10 @@
     }
 
     /** An aim: {@code kind} is wait, finished or deadline; the time is 0 where it doesn't apply. */
-    public record Objective(String kind, String jobClass, long withinMicros, double share, double times) {
-    }
+    public record Objective(String kind, String jobClass, long withinMicros, double share, double times) {}
 
-    public record Workers(long reportMicros, long leaseMicros, long gangWaitMicros, long gangPeerMicros,
-            long cancelMicros) {
-    }
+    public record Workers(
+            long reportMicros, long leaseMicros, long gangWaitMicros, long gangPeerMicros, long cancelMicros) {}
 
     /**
      * The state service's limits. It may lower them without notice to {@code next}, or null: what is written keeps to the
@@ -62,11 +59,9 @@
         }
     }
 
-    public record NextState(double writesPerSecond, int valueBytes, int txnOps) {
-    }
+    public record NextState(double writesPerSecond, int valueBytes, int txnOps) {}
 
-    public record Cloud(double requestsPerSecond, long listLagMicros) {
-    }
+    public record Cloud(double requestsPerSecond, long listLagMicros) {}
 
     /**
      * Sockets kept back for the node's own calls: those to the state service wait for users' requests, which are
--- a/src/main/java/org/weldcourse/settings/SettingsFile.java
+++ b/src/main/java/org/weldcourse/settings/SettingsFile.java
@@ -17,8 +17,7 @@
     /** The largest heap that the service is started with, and what the machine below it takes. */
     private static final int LEAST_MEMORY_MB = 110;
 
-    private SettingsFile() {
-    }
+    private SettingsFile() {}
 
     /** Says in one line what is wrong with the settings. */
     public static final class Invalid extends Exception {
@@ -40,7 +39,8 @@
         try {
             root = new TomlParser().parse(in);
         } catch (ParsingException malformed) {
-            throw new Invalid("not TOML: " + String.valueOf(malformed.getMessage()).lines().findFirst().orElse(""));
+            throw new Invalid("not TOML: "
+                    + String.valueOf(malformed.getMessage()).lines().findFirst().orElse(""));
         }
         UnmodifiableConfig deployment = table(root, "deployment");
         UnmodifiableConfig workers = table(deployment, "workers");
@@ -56,23 +56,45 @@
         }
         List<Settings.Team> teams = new ArrayList<>();
         for (UnmodifiableConfig team : tables(deployment, "teams")) {
-            teams.add(new Settings.Team(text(team, "name"), number(team, "cpus"), number(team, "cpus_max"),
-                    number(team, "gpus"), number(team, "gpus_max")));
+            teams.add(new Settings.Team(
+                    text(team, "name"),
+                    number(team, "cpus"),
+                    number(team, "cpus_max"),
+                    number(team, "gpus"),
+                    number(team, "gpus_max")));
         }
         List<Settings.Objective> objectives = new ArrayList<>();
         for (UnmodifiableConfig aim : tables(deployment, "objectives")) {
-            objectives.add(new Settings.Objective(text(aim, "kind"), text(aim, "class"),
-                    micros(optional(aim, "within_s", 0)), optional(aim, "share", 0), optional(aim, "times", 1)));
+            objectives.add(new Settings.Objective(
+                    text(aim, "kind"),
+                    text(aim, "class"),
+                    micros(optional(aim, "within_s", 0)),
+                    optional(aim, "share", 0),
+                    optional(aim, "times", 1)));
         }
         return new Settings(
-                text(root, "host_name"), text(root, "site"), address(root, "api_addr"), address(root, "back"),
-                List.copyOf(peers), address(endpoints, "cloud"), address(endpoints, "state"),
-                texts(deployment, "zones"), List.copyOf(teams), List.copyOf(objectives),
-                new Settings.Workers(positiveMicros(workers, "report_s"), positiveMicros(workers, "lease_s"),
-                        positiveMicros(workers, "gang_wait_s"), positiveMicros(workers, "gang_peer_s"),
+                text(root, "host_name"),
+                text(root, "site"),
+                address(root, "api_addr"),
+                address(root, "back"),
+                List.copyOf(peers),
+                address(endpoints, "cloud"),
+                address(endpoints, "state"),
+                texts(deployment, "zones"),
+                List.copyOf(teams),
+                List.copyOf(objectives),
+                new Settings.Workers(
+                        positiveMicros(workers, "report_s"),
+                        positiveMicros(workers, "lease_s"),
+                        positiveMicros(workers, "gang_wait_s"),
+                        positiveMicros(workers, "gang_peer_s"),
                         positiveMicros(workers, "cancel_s")),
-                new Settings.State(positive(state, "rps"), positive(state, "write_rps"),
-                        valueBytes(state), atLeastOne(state, "txn_ops"), next(state)),
+                new Settings.State(
+                        positive(state, "rps"),
+                        positive(state, "write_rps"),
+                        valueBytes(state),
+                        atLeastOne(state, "txn_ops"),
+                        next(state)),
                 new Settings.Cloud(positive(cloud, "rps"), micros(number(cloud, "list_lag_s"))),
                 (int) positive(quota, "max_sockets"));
     }
@@ -168,7 +190,8 @@
     }
 
     private static double number(UnmodifiableConfig from, String name) throws Invalid {
-        if (from.get(List.of(name)) instanceof Number number && number.doubleValue() >= 0
+        if (from.get(List.of(name)) instanceof Number number
+                && number.doubleValue() >= 0
                 && Double.isFinite(number.doubleValue())) {
             return number.doubleValue();
         }
--- a/src/main/java/org/weldcourse/settings/Tuning.java
+++ b/src/main/java/org/weldcourse/settings/Tuning.java
@@ -13,8 +13,7 @@
  * Operators' own settings, from an optional XML file: one {@code <weldcourse>} element whose children name a
  * duration in seconds or a plain number. What the file leaves out keeps its default.
  */
-public record Tuning(long stateLeaseMicros, long idleHoldMicros, int warmMachines,
-        long warmHoldMicros) {
+public record Tuning(long stateLeaseMicros, long idleHoldMicros, int warmMachines, long warmHoldMicros) {
     public static final Tuning DEFAULT = new Tuning(4_000_000, 30_000_000, 1, 90_000_000);
 
     public static Tuning read(Path file) throws SettingsFile.Invalid {
@@ -82,7 +81,7 @@
         } catch (NumberFormatException notNumber) {
             // Said below, like a number out of range.
         }
-        throw new SettingsFile.Invalid("operators' settings: <" + name + "> must be a number from " + least + " to "
-                + most);
+        throw new SettingsFile.Invalid(
+                "operators' settings: <" + name + "> must be a number from " + least + " to " + most);
     }
 }
--- a/src/main/java/org/weldcourse/store/Store.java
+++ b/src/main/java/org/weldcourse/store/Store.java
@@ -39,28 +39,21 @@
         BAD
     }
 
-    public record Entry(String key, Map<String, Object> value, long version, long lease) {
-    }
+    public record Entry(String key, Map<String, Object> value, long version, long lease) {}
 
-    public record Read(Outcome outcome, Entry entry) {
-    }
+    public record Read(Outcome outcome, Entry entry) {}
 
-    public record Listing(Outcome outcome, List<Entry> entries, long revision) {
-    }
+    public record Listing(Outcome outcome, List<Entry> entries, long revision) {}
 
     /** {@code failed} holds the keys whose condition did not hold. */
-    public record Commit(Outcome outcome, long revision, List<Object> failed) {
-    }
+    public record Commit(Outcome outcome, long revision, List<Object> failed) {}
 
-    public record Grant(Outcome outcome, long lease) {
-    }
+    public record Grant(Outcome outcome, long lease) {}
 
     /** {@code value} is null for a key that was deleted. */
-    public record Event(String key, Map<String, Object> value, long version) {
-    }
+    public record Event(String key, Map<String, Object> value, long version) {}
 
-    public record Events(Outcome outcome, List<Event> events, long revision) {
-    }
+    public record Events(Outcome outcome, List<Event> events, long revision) {}
 
     /** Since when nothing but failures came, or -1 while it serves us. */
     public long failingSinceMicros() {
@@ -75,10 +68,15 @@
     public void get(String key, Consumer<Read> then) {
         send("GET", "/store/" + key, null, TIMEOUT_MICROS, answer -> {
             Map<String, Object> body = answer.body();
-            then.accept(new Read(outcome(answer.status()), answer.ok()
-                    ? new Entry(key, Json.object(body.get("value")), Json.integer(body, "mark", 0),
-                            Json.integer(body, "permit", 0))
-                    : null));
+            then.accept(new Read(
+                    outcome(answer.status()),
+                    answer.ok()
+                            ? new Entry(
+                                    key,
+                                    Json.object(body.get("value")),
+                                    Json.integer(body, "mark", 0),
+                                    Json.integer(body, "permit", 0))
+                            : null));
         });
     }
 
@@ -96,8 +94,11 @@
             }
             for (Object item : Json.list(answer.body().get("pairs"))) {
                 Map<String, Object> pair = Json.object(item);
-                found.add(new Entry(Json.text(pair, "path"), Json.object(pair.get("value")),
-                        Json.integer(pair, "mark", 0), Json.integer(pair, "permit", 0)));
+                found.add(new Entry(
+                        Json.text(pair, "path"),
+                        Json.object(pair.get("value")),
+                        Json.integer(pair, "mark", 0),
+                        Json.integer(pair, "permit", 0)));
             }
             long first = revision > 0 ? revision : Json.integer(answer.body(), "ledger", 0);
             if (Json.flag(answer.body(), "has_next") && !found.isEmpty()) {
@@ -109,20 +110,31 @@
     }
 
     public void commit(Txn txn, Consumer<Commit> then) {
-        send("POST", "/commit", txn.body(), TIMEOUT_MICROS, answer ->
-                then.accept(new Commit(outcome(answer.status()), Json.integer(answer.body(), "ledger", 0),
+        send(
+                "POST",
+                "/commit",
+                txn.body(),
+                TIMEOUT_MICROS,
+                answer -> then.accept(new Commit(
+                        outcome(answer.status()),
+                        Json.integer(answer.body(), "ledger", 0),
                         Json.list(answer.body().get("failed")))));
     }
 
     public void grant(long ttlMicros, Consumer<Grant> then) {
-        send("POST", "/grants", Json.of("ttl_ms", ttlMicros / 1000), TIMEOUT_MICROS, answer ->
-                then.accept(new Grant(outcome(answer.status()), Json.integer(answer.body(), "permit", 0))));
+        send(
+                "POST",
+                "/grants",
+                Json.of("ttl_ms", ttlMicros / 1000),
+                TIMEOUT_MICROS,
+                answer -> then.accept(new Grant(outcome(answer.status()), Json.integer(answer.body(), "permit", 0))));
     }
 
     /** On a connection of its own: with all others taken, a renewal that had to wait for a new one came too late. */
     public void extend(long lease, long timeoutMicros, Consumer<Outcome> then) {
-        send(new Caller.Call(address, "POST", "/grants/" + lease + "/extend", Map.of(), timeoutMicros, true), answer ->
-                then.accept(outcome(answer.status())));
+        send(
+                new Caller.Call(address, "POST", "/grants/" + lease + "/extend", Map.of(), timeoutMicros, true),
+                answer -> then.accept(outcome(answer.status())));
     }
 
     public void endGrant(long lease, Consumer<Outcome> then) {
@@ -141,9 +153,10 @@
             for (Object item : Json.list(answer.body().get("events"))) {
                 Map<String, Object> event = Json.object(item);
                 String written = Json.text(event, "write");
-                events.add(written != null
-                        ? new Event(written, Json.object(event.get("value")), Json.integer(event, "mark", 0))
-                        : new Event(Json.text(event, "delete"), null, Json.integer(event, "mark", 0)));
+                events.add(
+                        written != null
+                                ? new Event(written, Json.object(event.get("value")), Json.integer(event, "mark", 0))
+                                : new Event(Json.text(event, "delete"), null, Json.integer(event, "mark", 0)));
             }
             then.accept(new Events(Outcome.OK, events, Json.integer(answer.body(), "ledger", afterRevision)));
         });
--- a/src/main/java/org/weldcourse/store/SureCommit.java
+++ b/src/main/java/org/weldcourse/store/SureCommit.java
@@ -47,8 +47,7 @@
             if (!alive.get()) {
                 return;
             }
-            if (commit.outcome() == Outcome.OK || commit.outcome() == Outcome.NO
-                    || commit.outcome() == Outcome.BAD) {
+            if (commit.outcome() == Outcome.OK || commit.outcome() == Outcome.NO || commit.outcome() == Outcome.BAD) {
                 done.accept(commit, unclear);
                 return;
             }
--- a/src/main/java/org/weldcourse/workers/CheckinCodec.java
+++ b/src/main/java/org/weldcourse/workers/CheckinCodec.java
@@ -12,8 +12,7 @@
 
 /** The workers' words: reports in, orders out. */
 public final class CheckinCodec {
-    private CheckinCodec() {
-    }
+    private CheckinCodec() {}
 
     /** Null when the body is no report. Read as a stream: hundreds come in a second, and most say little new. */
     public static Report report(byte[] body) {
@@ -58,8 +57,17 @@
         if (in.currentToken() != JsonToken.END_OBJECT || machine == null || session < 1 || sequence < 0) {
             return null;
         }
-        return new Report(machine, address, type, zone, spot, session, sequence, token,
-                notice < 0 ? Report.NO_NOTICE : Math.round(notice * 1e6), tasks);
+        return new Report(
+                machine,
+                address,
+                type,
+                zone,
+                spot,
+                session,
+                sequence,
+                token,
+                notice < 0 ? Report.NO_NOTICE : Math.round(notice * 1e6),
+                tasks);
     }
 
     /** Null when one of them is no task: then the list as a whole shows nothing. */
@@ -102,7 +110,8 @@
     }
 
     private static long integer(JsonParser in, long otherwise) throws IOException {
-        if (in.currentToken() == JsonToken.VALUE_NUMBER_INT && in.getNumberType() != JsonParser.NumberType.BIG_INTEGER) {
+        if (in.currentToken() == JsonToken.VALUE_NUMBER_INT
+                && in.getNumberType() != JsonParser.NumberType.BIG_INTEGER) {
             return in.getLongValue();
         }
         in.skipChildren();
@@ -148,12 +157,21 @@
         List<Object> out = new ArrayList<>(orders.size());
         for (Order order : orders) {
             String task = order.task().toString();
-            out.add(switch (order.kind()) {
-                case RUN -> Json.of("order", "run", "bead", task, "strike", order.attempt());
-                case HALT -> Json.of("order", "halt", "bead", task, "strike", order.attempt(),
-                        "cooldown_s", order.graceMicros() / 1e6);
-                case FORGET -> Json.of("order", "forget", "bead", task, "strike", order.attempt());
-            });
+            out.add(
+                    switch (order.kind()) {
+                        case RUN -> Json.of("order", "run", "bead", task, "strike", order.attempt());
+                        case HALT ->
+                            Json.of(
+                                    "order",
+                                    "halt",
+                                    "bead",
+                                    task,
+                                    "strike",
+                                    order.attempt(),
+                                    "cooldown_s",
+                                    order.graceMicros() / 1e6);
+                        case FORGET -> Json.of("order", "forget", "bead", task, "strike", order.attempt());
+                    });
         }
         return out;
     }
--- a/src/main/java/org/weldcourse/workers/Order.java
+++ b/src/main/java/org/weldcourse/workers/Order.java
@@ -2,7 +2,11 @@
 
 /** A command for a worker. */
 public record Order(Kind kind, TaskName task, int attempt, long graceMicros) {
-    public enum Kind { RUN, HALT, FORGET }
+    public enum Kind {
+        RUN,
+        HALT,
+        FORGET
+    }
 
     public static Order run(TaskName task, int attempt) {
         return new Order(Kind.RUN, task, attempt, 0);
--- a/src/main/java/org/weldcourse/workers/Reconciler.java
+++ b/src/main/java/org/weldcourse/workers/Reconciler.java
@@ -222,15 +222,23 @@
         MachineType type = machine.type;
         double slack = MachineType.EPSILON;
         for (Booking booking : machine.bookings.values()) {
-            if (booking.seen || booking.stop || !booking.persisted || booking.job.cancelled || booking.job.closed
+            if (booking.seen
+                    || booking.stop
+                    || !booking.persisted
+                    || booking.job.cancelled
+                    || booking.job.closed
                     || booking.job.stale) {
                 continue;
             }
             JobSpec spec = booking.job.spec;
-            boolean fits = cpus + spec.cpus() <= type.cpus() + slack && gpus + spec.gpus() <= type.gpus() + slack
+            boolean fits = cpus + spec.cpus() <= type.cpus() + slack
+                    && gpus + spec.gpus() <= type.gpus() + slack
                     && memoryGb + spec.memoryGb() <= type.memoryGb() + slack;
             Machine elsewhere = board.whereabouts(booking.name);
-            if (!fits || orders.size() >= MOST_ORDERS || elsewhere != null && elsewhere != machine || isStranger(machine, booking)) {
+            if (!fits
+                    || orders.size() >= MOST_ORDERS
+                    || elsewhere != null && elsewhere != machine
+                    || isStranger(machine, booking)) {
                 continue;
             }
             cpus += spec.cpus();
@@ -252,7 +260,8 @@
     }
 
     private static boolean saves(Booking booking) {
-        boolean canSave = booking.job.spec.checkpointMicros() > 0 && booking.graceMicros > 0
+        boolean canSave = booking.job.spec.checkpointMicros() > 0
+                && booking.graceMicros > 0
                 && booking.graceMicros >= booking.job.spec.saveMicros();
         return canSave && booking.running();
     }
--- a/src/test/java/org/weldcourse/admission/PlannerTest.java
+++ b/src/test/java/org/weldcourse/admission/PlannerTest.java
@@ -24,8 +24,8 @@
 class PlannerTest {
     private static final long SECOND = 1_000_000;
     private static final long NOW = 1_000 * SECOND;
-    private static final MachineType LARGE = new MachineType("large", 16, 0, 64, 100, 1, 1.6, 0.8, 20 * SECOND,
-            List.of("a"));
+    private static final MachineType LARGE =
+            new MachineType("large", 16, 0, 64, 100, 1, 1.6, 0.8, 20 * SECOND, List.of("a"));
     private static final Planner.Bounds PLENTY = new Planner.Bounds(1_000, 100, 3 * SECOND);
 
     private static JobSpec spec(String id, Object... changes) throws Exception {
@@ -33,11 +33,27 @@
     }
 
     private static JobView gang(int number, int tasks, long waitedSeconds) throws Exception {
-        JobSpec spec = spec(String.format("req-%06d", number), "shape", "ensemble", "rank", "urgent", "beads", tasks,
-                "cpus", 14.0, "together", true);
+        JobSpec spec = spec(
+                String.format("req-%06d", number),
+                "shape",
+                "ensemble",
+                "rank",
+                "urgent",
+                "beads",
+                tasks,
+                "cpus",
+                14.0,
+                "together",
+                true);
         long accepted = NOW - waitedSeconds * SECOND;
-        return new JobView(spec, pending(tasks), accepted, false,
-                new long[] {accepted + 15 * SECOND, accepted + 60 * SECOND}, accepted + 100 * SECOND, 30 * SECOND,
+        return new JobView(
+                spec,
+                pending(tasks),
+                accepted,
+                false,
+                new long[] {accepted + 15 * SECOND, accepted + 60 * SECOND},
+                accepted + 100 * SECOND,
+                30 * SECOND,
                 Map.of(),
                 Set.of());
     }
@@ -77,20 +93,24 @@
         // One that can keep a later aim stands between them, small ones first.
         assertEquals(List.of("req-000002"), admitted(decide(PLENTY, one, gang(1, 1, 30), gang(2, 1, 2))));
         assertEquals(List.of("req-000002"), admitted(decide(PLENTY, one, gang(1, 1, 90), gang(2, 1, 30))));
-        assertEquals(List.of("req-000003"), admitted(decide(PLENTY, one, gang(1, 2, 40), gang(2, 2, 59), gang(3, 1, 20))));
+        assertEquals(
+                List.of("req-000003"), admitted(decide(PLENTY, one, gang(1, 2, 40), gang(2, 2, 59), gang(3, 1, 20))));
         assertEquals(List.of("req-000001"), admitted(decide(PLENTY, one, gang(1, 1, 160), gang(2, 1, 2))));
-        assertEquals(List.of("req-000002"), admitted(decide(PLENTY, List.of(machine("m-1"), machine("m-2")),
-                gang(1, 2, 2), gang(2, 1, 1))));
+        assertEquals(
+                List.of("req-000002"),
+                admitted(decide(PLENTY, List.of(machine("m-1"), machine("m-2")), gang(1, 2, 2), gang(2, 1, 1))));
     }
 
     @Test
     void machinesAreHeldForAGangFromItsEqualsButNotFromLowerRanks() throws Exception {
         JobSpec running = spec("req-000009", "shape", "ensemble", "rank", "urgent", "cpus", 14.0);
-        List<MachineView> machines = List.of(machine("m-1"), machine("m-2"),
+        List<MachineView> machines = List.of(
+                machine("m-1"),
+                machine("m-2"),
                 machine("m-3", new TaskView(running, 0, false, NOW - SECOND, 60 * SECOND)));
         JobSpec idle = spec("req-000008", "rank", "idle", "beads", 2);
-        JobView array = new JobView(idle, pending(2), NOW, false, new long[0], NOW + SECOND, SECOND, Map.of(),
-                Set.of());
+        JobView array =
+                new JobView(idle, pending(2), NOW, false, new long[0], NOW + SECOND, SECOND, Map.of(), Set.of());
         // The large one is owed its start: the small one behind it may not take what it waits for.
         Decisions decisions = decide(PLENTY, machines, gang(1, 3, 160), gang(2, 1, 160 - 1), array);
         assertEquals(List.of("req-000008"), admitted(decisions));
@@ -104,7 +124,11 @@
     void admissionsStayWithinWhatTheRecordsHaveRoomFor() throws Exception {
         List<MachineView> machines = List.of(machine("m-1"), machine("m-2"));
         Planner.Bounds bounds = new Planner.Bounds(1_000, 1, 0);
-        assertEquals(1, decide(bounds, machines, gang(1, 1, 1), gang(2, 1, 2)).admissions().size());
+        assertEquals(
+                1,
+                decide(bounds, machines, gang(1, 1, 1), gang(2, 1, 2))
+                        .admissions()
+                        .size());
     }
 
     @Test
@@ -113,7 +137,8 @@
         Decisions decisions = decide(new Planner.Bounds(1_000, 1, 0), machines, gang(1, 1, 1), gang(2, 1, 2));
         assertEquals(1, decisions.held().size(), decisions.held().toString());
         assertTrue(decisions.admissions().get(0).tasks().keySet().stream().noneMatch(decisions.held()::contains));
-        assertEquals(Set.of(), decide(PLENTY, machines, gang(1, 1, 1), gang(2, 1, 2)).held());
+        assertEquals(
+                Set.of(), decide(PLENTY, machines, gang(1, 1, 1), gang(2, 1, 2)).held());
     }
 
     @Test
@@ -122,19 +147,29 @@
         JobSpec array = spec("req-000008", "rank", "idle", "cpus", 8.0);
         TaskView replica = new TaskView(other, 0, false, NOW - 60 * SECOND, Long.MAX_VALUE / 2);
         TaskView task = new TaskView(array, 0, false, NOW - SECOND, 30 * SECOND);
-        List<MachineView> machines = List.of(machine("m-1", task), machine("m-2", replica), machine("m-3", replica),
-                machine("m-4", task), machine("m-5"), machine("m-6", replica, replica, replica, replica, replica, replica));
-        JobSpec service = spec("req-000001", "shape", "service", "rank", "prod", "beads", 6, "cpus", 1.0, "expected_s", 0.0);
+        List<MachineView> machines = List.of(
+                machine("m-1", task),
+                machine("m-2", replica),
+                machine("m-3", replica),
+                machine("m-4", task),
+                machine("m-5"),
+                machine("m-6", replica, replica, replica, replica, replica, replica));
+        JobSpec service =
+                spec("req-000001", "shape", "service", "rank", "prod", "beads", 6, "cpus", 1.0, "expected_s", 0.0);
         JobView waiting = new JobView(service, pending(6), NOW, false, new long[0], NOW, SECOND, Map.of(), Set.of());
-        Map<String, int[]> tasks = decide(PLENTY, machines, waiting).admissions().get(0).tasks();
-        assertEquals(Set.of("m-1", "m-2", "m-3"), tasks.keySet(), "two with replicas, then the fullest; m-6 has its part");
+        Map<String, int[]> tasks =
+                decide(PLENTY, machines, waiting).admissions().get(0).tasks();
+        assertEquals(
+                Set.of("m-1", "m-2", "m-3"), tasks.keySet(), "two with replicas, then the fullest; m-6 has its part");
         assertTrue(tasks.values().stream().allMatch(some -> some.length == 2), "a third of the service on each");
     }
 
     @Test
     void arraysAreBookedAheadOnRoomThatIsFreeInAMoment() throws Exception {
         JobSpec other = spec("req-000009", "cpus", 8.0);
-        MachineView ending = machine("m-1", new TaskView(other, 0, false, NOW - 29 * SECOND, 30 * SECOND),
+        MachineView ending = machine(
+                "m-1",
+                new TaskView(other, 0, false, NOW - 29 * SECOND, 30 * SECOND),
                 new TaskView(other, 1, false, NOW, 30 * SECOND));
         JobSpec idle = spec("req-000008", "beads", 20, "cpus", 4.0);
         JobView array = new JobView(idle, pending(20), NOW, false, new long[0], NOW, SECOND, Map.of(), Set.of());
--- a/src/test/java/org/weldcourse/admission/RenewalBoundTest.java
+++ b/src/test/java/org/weldcourse/admission/RenewalBoundTest.java
@@ -7,7 +7,8 @@
 import org.weldcourse.settings.Settings;
 
 class RenewalBoundTest {
-    private final Settings.Workers workers = new Settings.Workers(1_000_000, 10_000_000, 40_000_000, 4_000_000, 35_000_000);
+    private final Settings.Workers workers =
+            new Settings.Workers(1_000_000, 10_000_000, 40_000_000, 4_000_000, 35_000_000);
     private final RenewalBound bound = new RenewalBound(workers);
 
     @Test
--- a/src/test/java/org/weldcourse/app/CostTest.java
+++ b/src/test/java/org/weldcourse/app/CostTest.java
@@ -11,8 +11,7 @@
 class CostTest {
     private static final int SECONDS = 8;
 
-    private record Cost(int requests, int writes, int known) {
-    }
+    private record Cost(int requests, int writes, int known) {}
 
     /** What all three nodes ask of the state service in some idle seconds, with so many machines that report all the while. */
     private static Cost idle(int machines) {
@@ -51,8 +50,10 @@
         int before = world.state.requests();
         int[] answered = new int[1];
         for (int i = 0; i < 100; i++) {
-            world.controller("n0").handle(new Server.Request("GET", "/v1/jobs/req-000001", new byte[0]),
-                    (status, body, retryAfterSeconds) -> answered[0] += status == 200 ? 1 : 0);
+            world.controller("n0")
+                    .handle(
+                            new Server.Request("GET", "/v1/jobs/req-000001", new byte[0]),
+                            (status, body, retryAfterSeconds) -> answered[0] += status == 200 ? 1 : 0);
         }
         world.time.pass(100_000);
         assertEquals(100, answered[0]);
--- a/src/test/java/org/weldcourse/app/MainTest.java
+++ b/src/test/java/org/weldcourse/app/MainTest.java
@@ -22,8 +22,15 @@
 
     @Test
     void everythingElseIsReadByPicocli() {
-        for (String[] call : new String[][] {{}, {"--config"}, {"--config", "--help"}, {"--config=a"}, {"check", "a"},
-                {"--config", "a", "--operators", "b"}, {"--help", "a"}}) {
+        for (String[] call : new String[][] {
+            {},
+            {"--config"},
+            {"--config", "--help"},
+            {"--config=a"},
+            {"check", "a"},
+            {"--config", "a", "--operators", "b"},
+            {"--help", "a"}
+        }) {
             assertFalse(Main.isPlatformsCall(call));
         }
     }
--- a/src/test/java/org/weldcourse/app/MeetingsTest.java
+++ b/src/test/java/org/weldcourse/app/MeetingsTest.java
@@ -104,7 +104,8 @@
 
         Set<String> machinesOf(String id) {
             Set<String> machines = new HashSet<>();
-            tasksOf(id).forEach(task -> machines.add(world.whereIs(task).machine().name()));
+            tasksOf(id)
+                    .forEach(task -> machines.add(world.whereIs(task).machine().name()));
             return machines;
         }
 
@@ -173,10 +174,15 @@
             for (String id : bodies.keySet()) {
                 String state = cancelled.contains(id) ? "cancelled" : "done";
                 boolean over = world.reaches(node(0), id, state, seconds);
-                assertTrue(over || cancelled.contains(id) && "done".equals(world.poll(node(0), id).state()),
+                assertTrue(
+                        over
+                                || cancelled.contains(id)
+                                        && "done".equals(world.poll(node(0), id).state()),
                         id + " is " + world.poll(node(0), id) + " instead of " + state);
                 for (String node : world.alive()) {
-                    assertEquals(world.poll(node(0), id).state(), world.poll(node, id).state());
+                    assertEquals(
+                            world.poll(node(0), id).state(),
+                            world.poll(node, id).state());
                     assertEquals(200, world.submit(node, bodies.get(id)).status());
                 }
             }
@@ -201,7 +207,6 @@
         return held;
     }
 
-
     // A leader that knows less than the users were told
 
     @ParameterizedTest
@@ -242,7 +247,9 @@
         String id = day.running(FOREVER);
         World world = day.world;
         String leader = world.leader();
-        int[] hung = hold(world, 60_000_000,
+        int[] hung = hold(
+                world,
+                60_000_000,
                 (from, call) -> from.equals(leader) && call.path().contains("starts=open/"));
         world.time.passSeconds(2);
         day.cancelThrough(day.peerOf(leader), id);
@@ -313,8 +320,10 @@
         world.cutFromState(old);
         world.cutFromPeers(old);
         world.time.passSeconds(7);
-        String successor = world.nodes().stream().filter(node -> !node.equals(old) && world.controller(node).leads())
-                .findFirst().orElseThrow();
+        String successor = world.nodes().stream()
+                .filter(node -> !node.equals(old) && world.controller(node).leads())
+                .findFirst()
+                .orElseThrow();
         assertTrue(world.controller(old).leads(), "it has heard of nothing");
         day.cancelThrough(successor, id);
         assertNotEquals(200, world.poll(old, id).status());
@@ -426,9 +435,10 @@
         world.time.passSeconds(2);
         assertEquals(4, day.tasksOf(first).size(), "they were cancelled and are there still");
         // Reports from before the tasks came are no evidence that they are gone.
-        world.workers.values().forEach(worker -> new ArrayList<>(worker.reports()).stream()
-                .filter(report -> Json.list(report.get("beads")).isEmpty())
-                .forEach(copy -> world.ask(world.leader(), "POST", "/checkin", Json.bytes(copy))));
+        world.workers.values().forEach(worker -> new ArrayList<>(worker.reports())
+                .stream()
+                        .filter(report -> Json.list(report.get("beads")).isEmpty())
+                        .forEach(copy -> world.ask(world.leader(), "POST", "/checkin", Json.bytes(copy))));
         String ended = day.killLeader();
         day.awaitLeader(10);
         world.startNode(ended);
@@ -636,7 +646,8 @@
             if (round == 4) {
                 world.state.down(true);
             }
-            String leader = world.leader() != null ? world.leader() : world.alive().get(0);
+            String leader =
+                    world.leader() != null ? world.leader() : world.alive().get(0);
             world.killNode(leader);
             if (round % 3 == 2) {
                 // All end, and one is back within a second; the others follow.
@@ -696,10 +707,12 @@
         inside.addAll(day.machinesOf(cancelled));
         world.cutFromState(old);
         world.cutFromPeers(old);
-        world.nodes().stream().filter(node -> !node.equals(old)).forEach(node -> inside.forEach(machine -> {
-            world.net.cut(machine, node + ":80");
-            world.net.cut(node, FakeWorker.address(machine));
-        }));
+        world.nodes().stream()
+                .filter(node -> !node.equals(old))
+                .forEach(node -> inside.forEach(machine -> {
+                    world.net.cut(machine, node + ":80");
+                    world.net.cut(node, FakeWorker.address(machine));
+                }));
         world.time.passSeconds(6);
         assertEquals("cancelled", day.cancel(cancelled));
         world.time.passSeconds(8);
@@ -812,7 +825,8 @@
     }
 
     private static boolean commits(Caller.Call call, String prefix) {
-        return call.path().equals("/commit") && new String(Json.bytes(call.body()), StandardCharsets.UTF_8).contains(prefix);
+        return call.path().equals("/commit")
+                && new String(Json.bytes(call.body()), StandardCharsets.UTF_8).contains(prefix);
     }
 
     @ParameterizedTest
@@ -830,7 +844,8 @@
         String old = world.leader();
         world.refuseState(old, true);
         world.time.after(2_000_000, () -> world.state.down(true));
-        world.time.after(Math.round(healsAfter * 1e6), () -> world.workers.get(machine).freeze(false));
+        world.time.after(
+                Math.round(healsAfter * 1e6), () -> world.workers.get(machine).freeze(false));
         world.time.passSeconds(0.7);
         day.cancelThrough(day.peerOf(old), id);
         world.time.passSeconds(healsAfter);
@@ -904,7 +919,9 @@
                 assertTrue(world.reaches(day.node(i), id, "done", 60));
             }
             asked += askAllWithinMilliseconds(world, id);
-            world.alive().forEach(node -> assertEquals(200, world.submit(node, day.bodies.get(id)).status()));
+            world.alive()
+                    .forEach(node -> assertEquals(
+                            200, world.submit(node, day.bodies.get(id)).status()));
         }
         world.time.passSeconds(3);
         assertEquals(asked, world.answers());
--- a/src/test/java/org/weldcourse/app/PackagedTest.java
+++ b/src/test/java/org/weldcourse/app/PackagedTest.java
@@ -26,6 +26,7 @@
     private static final String ARCHIVE = "target/weldcourse.jsa";
     /** What can't be archived: classes made while running (proxies, method handle forms), and the log's own. */
     private static final int MOST_FROM_ELSEWHERE = 40;
+
     private static final int ENDED = -1;
 
     @TempDir
@@ -45,20 +46,40 @@
     void nearlyAllClassesComeFromAnArchiveOfAWholeWarmUp() throws Exception {
         Path list = dir.resolve("classes.lst");
         int tries = 0;
-        while (ended(List.of("java", "-Xshare:off", "-XX:DumpLoadedClassList=" + list, "-XX:+UseSerialGC",
-                "-Dio.netty.jfr.enabled=false", "-jar", "target/weldcourse.jar", "warm-up")) != 0) {
+        while (ended(List.of(
+                        "java",
+                        "-Xshare:off",
+                        "-XX:DumpLoadedClassList=" + list,
+                        "-XX:+UseSerialGC",
+                        "-Dio.netty.jfr.enabled=false",
+                        "-jar",
+                        "target/weldcourse.jar",
+                        "warm-up"))
+                != 0) {
             assertTrue(++tries < 10, "the warm-up ends early each time");
         }
         Path archive = dir.resolve("whole.jsa");
-        assertEquals(0, ended(List.of("java", "-Xshare:dump", "-XX:SharedClassListFile=" + list,
-                "-XX:SharedArchiveFile=" + archive, "-XX:+UseSerialGC", "-Xlog:disable", "-jar", "target/weldcourse.jar")));
+        assertEquals(
+                0,
+                ended(List.of(
+                        "java",
+                        "-Xshare:dump",
+                        "-XX:SharedClassListFile=" + list,
+                        "-XX:SharedArchiveFile=" + archive,
+                        "-XX:+UseSerialGC",
+                        "-Xlog:disable",
+                        "-jar",
+                        "target/weldcourse.jar")));
         Origins origins = origins(archive.toString());
         assertTrue(origins.all > 1_000 && origins.elsewhere <= MOST_FROM_ELSEWHERE, origins.toString());
     }
 
     @Test
     void aMissingArchiveStopsNoStart() throws Exception {
-        assertEquals(503, started(command(flag -> flag.replace(ARCHIVE, dir.resolve("none.jsa").toString()))));
+        assertEquals(
+                503,
+                started(command(
+                        flag -> flag.replace(ARCHIVE, dir.resolve("none.jsa").toString()))));
     }
 
     @Test
@@ -73,28 +94,37 @@
         assertEquals(503, started(command(flag -> flag.replace(ARCHIVE, foreign.toString()))));
     }
 
-    private record Origins(int all, int elsewhere) {
-    }
+    private record Origins(int all, int elsewhere) {}
 
     private Origins origins(String archive) throws Exception {
         Path classes = dir.resolve("loaded.txt");
-        assertEquals(503, started(command(flag -> flag.equals("-Xlog:disable")
-                ? "-Xlog:class+load:file=" + classes : flag.replace(ARCHIVE, archive))));
+        assertEquals(
+                503,
+                started(command(flag -> flag.equals("-Xlog:disable")
+                        ? "-Xlog:class+load:file=" + classes
+                        : flag.replace(ARCHIVE, archive))));
         List<String> all = Files.readAllLines(classes);
-        return new Origins(all.size(), (int) all.stream().filter(line -> !line.contains("shared objects file")).count());
+        return new Origins(all.size(), (int) all.stream()
+                .filter(line -> !line.contains("shared objects file"))
+                .count());
     }
 
     private static int ended(List<String> command) throws Exception {
-        Process process = new ProcessBuilder(command).redirectErrorStream(true)
-                .redirectOutput(ProcessBuilder.Redirect.DISCARD).start();
+        Process process = new ProcessBuilder(command)
+                .redirectErrorStream(true)
+                .redirectOutput(ProcessBuilder.Redirect.DISCARD)
+                .start();
         return process.waitFor();
     }
 
     private static List<String> command(UnaryOperator<String> change) throws IOException {
         String run = Files.readAllLines(Path.of("deploy/service.toml")).stream()
-                .filter(line -> line.startsWith("run = ")).findFirst().orElseThrow();
+                .filter(line -> line.startsWith("run = "))
+                .findFirst()
+                .orElseThrow();
         List<String> command = new ArrayList<>();
-        for (String word : run.substring(run.indexOf('"') + 1, run.lastIndexOf('"')).split(" ")) {
+        for (String word :
+                run.substring(run.indexOf('"') + 1, run.lastIndexOf('"')).split(" ")) {
             command.add(change.apply(word));
         }
         return command;
@@ -114,8 +144,8 @@
 
     private int startedOnce(List<String> command) throws Exception {
         int api = freePort();
-        Path settings = Files.writeString(dir.resolve("settings.toml"),
-                WarmUp.settingsText(api, freePort(), freePort()));
+        Path settings =
+                Files.writeString(dir.resolve("settings.toml"), WarmUp.settingsText(api, freePort(), freePort()));
         command.add(settings.toString());
         Process process = new ProcessBuilder(command).redirectErrorStream(true).start();
         try (BufferedReader out = new BufferedReader(new InputStreamReader(process.getInputStream()))) {
@@ -126,8 +156,11 @@
             if (line == null) {
                 return ENDED;
             }
-            HttpRequest ready = HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + api + "/ready")).build();
-            return HttpClient.newHttpClient().send(ready, HttpResponse.BodyHandlers.discarding()).statusCode();
+            HttpRequest ready = HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + api + "/ready"))
+                    .build();
+            return HttpClient.newHttpClient()
+                    .send(ready, HttpResponse.BodyHandlers.discarding())
+                    .statusCode();
         } finally {
             process.destroyForcibly();
             process.waitFor();
--- a/src/test/java/org/weldcourse/app/ServiceTest.java
+++ b/src/test/java/org/weldcourse/app/ServiceTest.java
@@ -78,10 +78,14 @@
     @Test
     void refusesWhatCanNeverRunAndWhatIsMalformed() {
         World world = settled(1);
-        assertEquals(422, world.submit("n0", jobBody("req-000006", "crew", "nobody")).status());
-        assertEquals(422, world.submit("n0", jobBody("req-000007", "cpus", 17.0)).status());
-        assertEquals(422, world.submit("n0", jobBody("req-000008", "crew", "capped", "shape", "ensemble",
-                "beads", 5)).status());
+        assertEquals(
+                422, world.submit("n0", jobBody("req-000006", "crew", "nobody")).status());
+        assertEquals(
+                422, world.submit("n0", jobBody("req-000007", "cpus", 17.0)).status());
+        assertEquals(
+                422,
+                world.submit("n0", jobBody("req-000008", "crew", "capped", "shape", "ensemble", "beads", 5))
+                        .status());
         assertEquals(400, world.submit("n0", jobBody("req-000009", "beads", 0)).status());
         assertEquals(400, world.ask("n0", "POST", "/v1/jobs", "[1]".getBytes()).status());
         assertEquals(400, world.ask("n0", "POST", "/v1/jobs", "{".getBytes()).status());
@@ -304,7 +308,7 @@
         world.time.passSeconds(3);
         String rented = world.cloud.machines().iterator().next();
         for (String machine : world.cloud.machines()) {
-            world.net.host(FakeWorker.address(machine), (request, reply) -> { });
+            world.net.host(FakeWorker.address(machine), (request, reply) -> {});
             world.net.cut(machine, "n0:80");
         }
         world.time.passSeconds(80);
@@ -363,8 +367,11 @@
 
     @Test
     void guaranteeIsTakenBackFromABorrower() {
-        World world = new World(1, 16, 32 * 1024, List.of(new Settings.Team("core", 8, 0, 0, 0),
-                new Settings.Team("other", 8, 0, 0, 0)));
+        World world = new World(
+                1,
+                16,
+                32 * 1024,
+                List.of(new Settings.Team("core", 8, 0, 0, 0), new Settings.Team("other", 8, 0, 0, 0)));
         world.time.passSeconds(2);
         world.runMicros.put("req-000027", 300_000_000L);
         world.cloud.unexpected("large", "a", false);
@@ -507,9 +514,31 @@
         World world = settled(3);
         String leader = world.leader();
         for (String node : List.of("n0", "n1", "n2")) {
-            World.Answer answer = world.ask(node, "POST", "/checkin", Json.bytes(Json.of("forge", "m-900000",
-                    "addr", "x:1", "rig", "small", "yard", "a", "loaners", false, "shift", 1, "stitch", 1,
-                    "torch", 0, "recall_s", null, "beads", List.of())));
+            World.Answer answer = world.ask(
+                    node,
+                    "POST",
+                    "/checkin",
+                    Json.bytes(Json.of(
+                            "forge",
+                            "m-900000",
+                            "addr",
+                            "x:1",
+                            "rig",
+                            "small",
+                            "yard",
+                            "a",
+                            "loaners",
+                            false,
+                            "shift",
+                            1,
+                            "stitch",
+                            1,
+                            "torch",
+                            0,
+                            "recall_s",
+                            null,
+                            "beads",
+                            List.of())));
             assertEquals(node.equals(leader) ? 200 : 421, answer.status());
             if (!node.equals(leader)) {
                 assertEquals(leader, Json.text(answer.body(), "foreman"));
@@ -525,7 +554,8 @@
         world.startNode("n1");
         world.time.passSeconds(2);
         assertEquals(200, world.ask("n1", "GET", "/ready", new byte[0]).status());
-        assertEquals(422, world.submit("n1", jobBody("req-000036", "cpus", 99.0)).status());
+        assertEquals(
+                422, world.submit("n1", jobBody("req-000036", "cpus", 99.0)).status());
     }
 
     @Test
@@ -594,7 +624,10 @@
         World world = settled(2);
         world.cloud.capacity = 0;
         for (int i = 0; i < 40; i++) {
-            assertEquals(201, world.submit("n0", jobBody(String.format("req-%06d", 500 + i))).status());
+            assertEquals(
+                    201,
+                    world.submit("n0", jobBody(String.format("req-%06d", 500 + i)))
+                            .status());
         }
         // What one node accepted or was told to cancel, another knows at once.
         assertEquals("queued", world.poll("n1", "req-000539").state());
@@ -603,8 +636,10 @@
         int before = world.state.requests();
         int[] answered = new int[1];
         for (int i = 0; i < 40; i++) {
-            world.controller("n1").handle(new Server.Request("GET", "/v1/jobs/req-" + String.format("%06d", 500 + i),
-                    new byte[0]), (status, body, retry) -> answered[0] += status == 200 ? 1 : 0);
+            world.controller("n1")
+                    .handle(
+                            new Server.Request("GET", "/v1/jobs/req-" + String.format("%06d", 500 + i), new byte[0]),
+                            (status, body, retry) -> answered[0] += status == 200 ? 1 : 0);
         }
         world.time.passSeconds(1);
         assertEquals(40, answered[0]);
@@ -748,7 +783,10 @@
     void everyQuestionIsAnsweredSoonAfterAllTroubles() {
         World world = settled(3);
         for (int i = 0; i < 12; i++) {
-            assertEquals(201, world.submit("n" + i % 3, jobBody(String.format("req-%06d", 700 + i))).status());
+            assertEquals(
+                    201,
+                    world.submit("n" + i % 3, jobBody(String.format("req-%06d", 700 + i)))
+                            .status());
         }
         world.withdraw("n1", "req-000705");
         // Together: the state service is down, a leader is cut off, all processes end, and changes are forgotten.
--- a/src/test/java/org/weldcourse/app/ServicesTest.java
+++ b/src/test/java/org/weldcourse/app/ServicesTest.java
@@ -24,8 +24,8 @@
     private static final String ID = "req-000001";
 
     private static Map<String, Object> service(Object... changes) {
-        Map<String, Object> body = jobBody(ID, "shape", "service", "rank", "prod", "cpus", 1.0, "loaners", false,
-                "expected_s", 0.0);
+        Map<String, Object> body =
+                jobBody(ID, "shape", "service", "rank", "prod", "cpus", 1.0, "loaners", false, "expected_s", 0.0);
         body.putAll(Json.of(changes));
         return body;
     }
@@ -67,7 +67,8 @@
 
     private static Set<String> machines(World world) {
         Set<String> machines = new HashSet<>();
-        replicas(world).forEach(task -> machines.add(world.whereIs(task).machine().name()));
+        replicas(world)
+                .forEach(task -> machines.add(world.whereIs(task).machine().name()));
         return machines;
     }
 
@@ -77,7 +78,9 @@
         World world = served(3);
         FakeWorker worker = world.whereIs(ID + "/0");
         String machine = worker.machine().name();
-        long lost = replicas(world).stream().filter(task -> world.whereIs(task) == worker).count();
+        long lost = replicas(world).stream()
+                .filter(task -> world.whereIs(task) == worker)
+                .count();
         assertTrue(lost <= 2, "one machine holds few of them");
         int writes = world.state.writes();
         switch (trouble) {
@@ -122,7 +125,9 @@
         World world = served(1);
         FakeWorker worker = world.whereIs(ID + "/0");
         worker.freeze(true);
-        for (int i = 0; i < 83 && !world.cloud.released.contains(worker.machine().name()); i++) {
+        for (int i = 0;
+                i < 83 && !world.cloud.released.contains(worker.machine().name());
+                i++) {
             world.time.pass(100_000);
         }
         assertTrue(world.cloud.released.contains(worker.machine().name()), "its return is the evidence");
@@ -134,7 +139,8 @@
         // The world fails the test when more than half are in one zone.
         World world = served(2, "apart", true);
         for (int round = 0; round < 4; round++) {
-            FakeWorker worker = world.whereIs(replicas(world).get(round % replicas(world).size()));
+            FakeWorker worker =
+                    world.whereIs(replicas(world).get(round % replicas(world).size()));
             worker.freeze(true);
             world.time.passSeconds(35);
             assertTrue(world.cloud.released.contains(worker.machine().name()));
@@ -213,11 +219,13 @@
     void allReplicasTogetherHaveToFitTheTeamsLimit() {
         World world = new World(1);
         world.time.passSeconds(2);
-        assertEquals(422, world.submit("n0", service("crew", "capped", "beads", 9)).status());
+        assertEquals(
+                422, world.submit("n0", service("crew", "capped", "beads", 9)).status());
         assertEquals(422, world.submit("n0", service("cpus", 17.0)).status());
         assertEquals(400, world.submit("n0", service("expected_s", -1.0)).status());
         assertEquals(400, world.submit("n0", service("shape", "daemon")).status());
         assertEquals(404, world.poll("n0", ID).status());
-        assertEquals(201, world.submit("n0", service("crew", "capped", "beads", 8)).status());
+        assertEquals(
+                201, world.submit("n0", service("crew", "capped", "beads", 8)).status());
     }
 }
--- a/src/test/java/org/weldcourse/app/UpgradeTest.java
+++ b/src/test/java/org/weldcourse/app/UpgradeTest.java
@@ -67,7 +67,8 @@
         for (String key : world.state.keys("done/" + id + "/")) {
             int number = Integer.parseInt(key.substring(key.lastIndexOf('/') + 1));
             int from = number * shardTasks;
-            BitSet bits = BitSet.valueOf(Base64.getDecoder().decode((String) world.state.value(key).get("bits")));
+            BitSet bits = BitSet.valueOf(
+                    Base64.getDecoder().decode((String) world.state.value(key).get("bits")));
             bits.stream().filter(bit -> from + bit < tasks).forEach(bit -> finished.set(from + bit));
         }
         for (String key : world.state.keys("slices/" + id + "/")) {
@@ -84,8 +85,10 @@
     void productionsRecordsAreTakenOver(boolean limitsLowered) throws Exception {
         World world = world(4096, 8, new Settings.NextState(50, 2048, 4));
         Map<String, Object> records = production();
-        BitSet small = BitSet.valueOf(Base64.getDecoder().decode((String) Json.object(records.get("slices/req-000001/0")).get("bits")));
-        BitSet large = BitSet.valueOf(Base64.getDecoder().decode((String) Json.object(records.get("done/req-000002/0")).get("bits")));
+        BitSet small = BitSet.valueOf(Base64.getDecoder()
+                .decode((String) Json.object(records.get("slices/req-000001/0")).get("bits")));
+        BitSet large = BitSet.valueOf(Base64.getDecoder()
+                .decode((String) Json.object(records.get("done/req-000002/0")).get("bits")));
         assertEquals(1, small.cardinality());
         assertTrue(large.cardinality() > 1000);
         world.adopt(Json.object(records.get("open/req-000001")), small);
@@ -102,9 +105,16 @@
         assertEquals("running", world.poll("n1", "req-000001").state());
         assertTrue(world.reaches("n0", "req-000001", "done", 200));
         assertTrue(world.reaches("n0", "req-000002", "done", 400));
-        assertEquals(3, world.starts.keySet().stream().filter(task -> task.startsWith("req-000001/")).count());
-        assertFalse(world.starts.keySet().stream().anyMatch(task -> task.startsWith("req-000002/")
-                && large.get(Integer.parseInt(task.substring(11)))), "finished tasks don't run again");
+        assertEquals(
+                3,
+                world.starts.keySet().stream()
+                        .filter(task -> task.startsWith("req-000001/"))
+                        .count());
+        assertFalse(
+                world.starts.keySet().stream()
+                        .anyMatch(task ->
+                                task.startsWith("req-000002/") && large.get(Integer.parseInt(task.substring(11)))),
+                "finished tasks don't run again");
         world.time.passSeconds(30);
         assertEquals(List.of(), world.state.keys("slices/"));
         assertEquals(List.of(), world.state.keys("done/"));
@@ -140,7 +150,9 @@
             world.adopt(Json.object(records.get("open/" + id)), finished.get(id));
             world.runMicros.put(id, 3_000_000L);
         }
-        assertEquals(List.of(1, 6500, 0, 600), finished.values().stream().map(BitSet::cardinality).toList());
+        assertEquals(
+                List.of(1, 6500, 0, 600),
+                finished.values().stream().map(BitSet::cardinality).toList());
         world.runMicros.put("req-000005", Long.MAX_VALUE);
         plant(world, records);
         world.cloud.numberMachinesFrom(100);
@@ -157,7 +169,9 @@
         }
         for (String id : List.of("req-000001", "req-000002", "req-000006")) {
             assertTrue(world.reaches(node, id, "done", 400), id);
-            long again = finished.get(id).stream().filter(task -> world.starts.containsKey(id + "/" + task)).count();
+            long again = finished.get(id).stream()
+                    .filter(task -> world.starts.containsKey(id + "/" + task))
+                    .count();
             assertEquals(0, again, "finished tasks of " + id + " that ran again");
         }
         assertEquals("cancelled", world.withdraw(node, "req-000005").state());
@@ -185,14 +199,21 @@
         for (int i = 0; i < 300; i++) {
             world.runMicros.put("req-000001/" + i, 2_000_000L + 700_000L * (i % 7));
         }
-        assertEquals(201, world.submit("n0", jobBody("req-000001", "beads", 300, "cpus", 0.5, "mem_gb", 0.5)).status());
+        assertEquals(
+                201,
+                world.submit("n0", jobBody("req-000001", "beads", 300, "cpus", 0.5, "mem_gb", 0.5))
+                        .status());
         world.runMicros.put("req-000002", Long.MAX_VALUE);
-        assertEquals(201, world.submit("n1", jobBody("req-000002", "shape", "service", "rank", "prod", "expected_s", 0.0)).status());
+        assertEquals(
+                201,
+                world.submit("n1", jobBody("req-000002", "shape", "service", "rank", "prod", "expected_s", 0.0))
+                        .status());
         world.time.passSeconds(20);
         world.killNode(world.leader());
         assertTrue(world.reaches(world.alive().get(0), "req-000001", "done", 200));
         assertTrue(seen[0] > commits);
-        assertEquals("cancelled", world.withdraw(world.alive().get(0), "req-000002").state());
+        assertEquals(
+                "cancelled", world.withdraw(world.alive().get(0), "req-000002").state());
         world.time.passSeconds(8);
         assertEquals(0, world.runningTasks());
     }
@@ -213,8 +234,17 @@
             even.append(',').append(task);
             odd.append(',').append(400 + task);
         }
-        world.state.plant("slices/req-000001/0", Json.of("last", 1, "n", 1, "machines",
-                Map.of("m-000000", even.toString(), "m-000001", odd.toString()), "bits", ""));
+        world.state.plant(
+                "slices/req-000001/0",
+                Json.of(
+                        "last",
+                        1,
+                        "n",
+                        1,
+                        "machines",
+                        Map.of("m-000000", even.toString(), "m-000001", odd.toString()),
+                        "bits",
+                        ""));
         int before = Json.bytes(world.state.value("slices/req-000001/0")).length;
         assertTrue(before > 1024);
         world.state.limit(4, 1024);
@@ -244,7 +274,8 @@
         }
         world.submit("n0", jobBody("req-000001", "beads", tasks, "cpus", 0.04, "mem_gb", 0.02));
         world.time.passSeconds(45);
-        assertTrue(world.state.keys("done/").size() > 1, world.state.keys("done/").toString());
+        assertTrue(
+                world.state.keys("done/").size() > 1, world.state.keys("done/").toString());
         BitSet read = finishedAsProductionReads(world, "req-000001", tasks, 1024);
         for (int task = read.nextSetBit(0); task >= 0; task = read.nextSetBit(task + 1)) {
             assertTrue(world.hasCompleted("req-000001/" + task), "task " + task);
@@ -269,8 +300,17 @@
         finished.set(0, 700);
         world.adopt(body, finished);
         plantOpen(world, body);
-        world.state.plant("slices/req-000001/0", Json.of("last", 3, "n", 7, "machines", Map.of(), "bits",
-                Base64.getEncoder().encodeToString(finished.toByteArray())));
+        world.state.plant(
+                "slices/req-000001/0",
+                Json.of(
+                        "last",
+                        3,
+                        "n",
+                        7,
+                        "machines",
+                        Map.of(),
+                        "bits",
+                        Base64.getEncoder().encodeToString(finished.toByteArray())));
         for (int i = 0; i < 2; i++) {
             world.cloud.unexpected("large", "a", false);
         }
--- a/src/test/java/org/weldcourse/fleet/FleetPlannerTest.java
+++ b/src/test/java/org/weldcourse/fleet/FleetPlannerTest.java
@@ -18,8 +18,8 @@
 
 class FleetPlannerTest {
     private static final long SECOND = 1_000_000;
-    private static final MachineType LARGE = new MachineType("large", 16, 0, 64, 100, 1, 1.6, 0.8, 20 * SECOND,
-            List.of("a"));
+    private static final MachineType LARGE =
+            new MachineType("large", 16, 0, 64, 100, 1, 1.6, 0.8, 20 * SECOND, List.of("a"));
 
     private static JobSpec job(Object... changes) throws Exception {
         return JobCodec.spec(Json.objectOrEmpty(Json.bytes(World.jobBody("req-000001", changes))));
@@ -32,7 +32,8 @@
 
     private static int rented(Need need, Host... hosts) {
         return FleetPlanner.plan(List.of(need), List.of(hosts), List.of(LARGE), Set.of(), 30, 0).stream()
-                .mapToInt(Rental::count).sum();
+                .mapToInt(Rental::count)
+                .sum();
     }
 
     @Test
@@ -61,8 +62,10 @@
         Need need = new Need(job("loaners", false), 4, 10 * SECOND, 60 * SECOND);
         List<Rental> plan = FleetPlanner.plan(List.of(need), List.of(), List.of(LARGE), Set.of(), 30, 0);
         assertEquals(new Offer("large", "a", false), plan.get(0).offer());
-        assertEquals(List.of(), FleetPlanner.plan(List.of(need), List.of(), List.of(LARGE),
-                Set.of(new Offer("large", "a", false)), 30, 0));
+        assertEquals(
+                List.of(),
+                FleetPlanner.plan(
+                        List.of(need), List.of(), List.of(LARGE), Set.of(new Offer("large", "a", false)), 30, 0));
     }
 
     @Test
@@ -71,26 +74,40 @@
         Need first = new Need(job(), 45, 10 * SECOND, 60 * SECOND);
         Need small = new Need(job(), 4, 10 * SECOND, 60 * SECOND);
         List<Host> hosts = List.of(up(0, 0));
-        assertEquals(0, FleetPlanner.plan(List.of(first, small), hosts, List.of(LARGE), Set.of(), 30, 0).size());
-        assertEquals(1, FleetPlanner.plan(List.of(first, small, small, small, small), hosts, List.of(LARGE), Set.of(),
-                30, 0).get(0).count());
+        assertEquals(
+                0,
+                FleetPlanner.plan(List.of(first, small), hosts, List.of(LARGE), Set.of(), 30, 0)
+                        .size());
+        assertEquals(
+                1,
+                FleetPlanner.plan(List.of(first, small, small, small, small), hosts, List.of(LARGE), Set.of(), 30, 0)
+                        .get(0)
+                        .count());
     }
 
     @Test
     void aGangDoesNotCountOnWhatAnotherWaitsFor() throws Exception {
-        Need gang = new Need(job("shape", "ensemble", "beads", 3, "cpus", 16.0, "together", true), 3, 60 * SECOND,
-                60 * SECOND);
+        Need gang = new Need(
+                job("shape", "ensemble", "beads", 3, "cpus", 16.0, "together", true), 3, 60 * SECOND, 60 * SECOND);
         Host booting = new Host(LARGE, "a", true, true, 10 * SECOND, 0, 0, new double[4]);
         List<Host> hosts = List.of(booting, booting, booting);
-        assertEquals(0, FleetPlanner.plan(List.of(gang), hosts, List.of(LARGE), Set.of(), 30, 0).size());
-        assertEquals(3, FleetPlanner.plan(List.of(gang, gang), hosts, List.of(LARGE), Set.of(), 30, 0).get(0).count());
+        assertEquals(
+                0,
+                FleetPlanner.plan(List.of(gang), hosts, List.of(LARGE), Set.of(), 30, 0)
+                        .size());
+        assertEquals(
+                3,
+                FleetPlanner.plan(List.of(gang, gang), hosts, List.of(LARGE), Set.of(), 30, 0)
+                        .get(0)
+                        .count());
     }
 
     @Test
     void gapsBetweenTasksAndTheFirstFetchTakeTheirTime() throws Exception {
         // 60 s hold six runs of 10 s, but three when each waits as long for the next.
         assertEquals(0, rented(new Need(job(), 40, 10 * SECOND, 60 * SECOND), up(0, 0)));
-        assertTrue(rented(new Need(job(), 40, 10 * SECOND, 10 * SECOND, 60 * SECOND, Map.of(), Map.of()), up(0, 0)) > 0);
+        assertTrue(
+                rented(new Need(job(), 40, 10 * SECOND, 10 * SECOND, 60 * SECOND, Map.of(), Map.of()), up(0, 0)) > 0);
         Host booting = new Host(LARGE, "a", true, true, 10 * SECOND, 0, 0, new double[4]);
         assertEquals(0, rented(new Need(job("size_gb", 1.0), 20, 10 * SECOND, 45 * SECOND), booting));
         assertTrue(rented(new Need(job("size_gb", 30.0), 20, 10 * SECOND, 45 * SECOND), booting) > 0);
--- a/src/test/java/org/weldcourse/http/IdleLinesTest.java
+++ b/src/test/java/org/weldcourse/http/IdleLinesTest.java
@@ -28,7 +28,7 @@
 
     @Test
     void theOneUsedLastIsTakenAndALostOneForgotten() {
-        IdleLines<String> lines = new IdleLines<>(() -> 3, line -> { });
+        IdleLines<String> lines = new IdleLines<>(() -> 3, line -> {});
         lines.keep("state", "first");
         lines.keep("state", "second");
         lines.keep("state", "third");
--- a/src/test/java/org/weldcourse/jobs/CodecTest.java
+++ b/src/test/java/org/weldcourse/jobs/CodecTest.java
@@ -25,8 +25,18 @@
 
     @Test
     void recordReadsBackAsTheSameJob() throws Exception {
-        JobSpec spec = JobCodec.spec(wire(World.jobBody("req-000001", "due_s", 12.5, "rigs", List.of("x"),
-                "tack_s", 30.0, "shape", "ensemble", "rank", "prod")));
+        JobSpec spec = JobCodec.spec(wire(World.jobBody(
+                "req-000001",
+                "due_s",
+                12.5,
+                "rigs",
+                List.of("x"),
+                "tack_s",
+                30.0,
+                "shape",
+                "ensemble",
+                "rank",
+                "prod")));
         Map<String, Object> record = wire(JobCodec.record(spec, 77, false));
         assertEquals(spec, JobCodec.spec(record));
         assertEquals(77, JobCodec.acceptedWallMicros(record));
@@ -36,12 +46,27 @@
 
     @Test
     void badJobsNameTheField() {
-        Object[][] bad = {{"name_id", "job-1"}, {"name_id", 5}, {"shape", "ring"}, {"rank", "high"}, {"beads", 100_001},
-                {"beads", 1.5}, {"cpus", 0.0}, {"cpus", "2"}, {"mem_gb", -1.0}, {"crew", null}, {"rigs", List.of()},
-                {"rigs", List.of(1)}, {"together", "yes"}, {"expected_s", null}, {"due_s", -5.0}, {"yard", 3}};
+        Object[][] bad = {
+            {"name_id", "job-1"},
+            {"name_id", 5},
+            {"shape", "ring"},
+            {"rank", "high"},
+            {"beads", 100_001},
+            {"beads", 1.5},
+            {"cpus", 0.0},
+            {"cpus", "2"},
+            {"mem_gb", -1.0},
+            {"crew", null},
+            {"rigs", List.of()},
+            {"rigs", List.of(1)},
+            {"together", "yes"},
+            {"expected_s", null},
+            {"due_s", -5.0},
+            {"yard", 3}
+        };
         for (Object[] change : bad) {
-            JobCodec.Malformed malformed = assertThrows(JobCodec.Malformed.class,
-                    () -> JobCodec.spec(wire(World.jobBody("req-000001", change))));
+            JobCodec.Malformed malformed = assertThrows(
+                    JobCodec.Malformed.class, () -> JobCodec.spec(wire(World.jobBody("req-000001", change))));
             assertTrue(malformed.getMessage().contains((String) change[0]), malformed.getMessage());
         }
     }
@@ -88,8 +113,26 @@
     @Test
     void badReportsAreRefusedAndUnknownFieldsIgnored() {
         assertNull(CheckinCodec.report(Json.bytes(Map.of())));
-        Map<String, Object> report = Json.of("forge", "m-1", "addr", "x:1", "rig", "s", "yard", "a", "loaners", true,
-                "shift", 2, "stitch", 9, "torch", 4, "new_field", 1, "beads",
+        Map<String, Object> report = Json.of(
+                "forge",
+                "m-1",
+                "addr",
+                "x:1",
+                "rig",
+                "s",
+                "yard",
+                "a",
+                "loaners",
+                true,
+                "shift",
+                2,
+                "stitch",
+                9,
+                "torch",
+                4,
+                "new_field",
+                1,
+                "beads",
                 List.of(Json.of("bead", "req-000001/3", "strike", 2, "heat", "exited", "cause", "unheard_of")));
         Report read = CheckinCodec.report(Json.bytes(report));
         assertEquals(new TaskName("req-000001", 3), read.tasks().get(0).name());
--- a/src/test/java/org/weldcourse/leadership/LeadershipTest.java
+++ b/src/test/java/org/weldcourse/leadership/LeadershipTest.java
@@ -23,15 +23,13 @@
 
     @BeforeEach
     void lead() {
-        leadership = new Leadership("n", new Store(this::answer, time, "state"), time, time, LEASE_MICROS,
-                new Leadership.Listener() {
+        leadership = new Leadership(
+                "n", new Store(this::answer, time, "state"), time, time, LEASE_MICROS, new Leadership.Listener() {
                     @Override
-                    public void elected(long token, long epochVersion) {
-                    }
+                    public void elected(long token, long epochVersion) {}
 
                     @Override
-                    public void deposed() {
-                    }
+                    public void deposed() {}
                 });
         leadership.start();
         time.passSeconds(1);
--- a/src/test/java/org/weldcourse/peers/PeersTest.java
+++ b/src/test/java/org/weldcourse/peers/PeersTest.java
@@ -86,7 +86,8 @@
         World world = new World(3);
         world.time.passSeconds(2);
         String leader = world.leader();
-        List<String> others = Stream.of("n0", "n1", "n2").filter(name -> !name.equals(leader)).toList();
+        List<String> others =
+                Stream.of("n0", "n1", "n2").filter(name -> !name.equals(leader)).toList();
         assertEquals(200, ready(world, leader), "the others may not be found yet");
         world.time.passSeconds(20);
         assertEquals(503, ready(world, leader));
