--- a/src/test/java/org/weldcourse/rehearsal/FakeCloud.java
+++ b/src/test/java/org/weldcourse/rehearsal/FakeCloud.java
@@ -13,8 +13,7 @@
 
 /** The cloud: two machine types in two zones, machines that come up after a while, and no lag but what is asked. */
 public final class FakeCloud implements Server.Handler {
-    public record Rented(String name, String type, String zone, boolean spot) {
-    }
+    public record Rented(String name, String type, String zone, boolean spot) {}
 
     private final FakeTime time;
     public long bootMicros;
@@ -93,13 +92,15 @@
             return;
         }
         if (nonsense) {
-            reply.send(200, Json.of("forges", List.of(7, Map.of("name_id", 3), "no"), "has_next", "perhaps", "rigs", 5));
+            reply.send(
+                    200, Json.of("forges", List.of(7, Map.of("name_id", 3), "no"), "has_next", "perhaps", "rigs", 5));
             return;
         }
         Map<String, Object> body = Json.objectOrEmpty(request.body());
         switch (request.path().split("\\?")[0]) {
-            case "/machine_types" -> reply.send(200, Json.of("rigs", List.of(
-                    type("small", 4, 16, 0.4, 0.2), type("large", 16, 64, 1.6, 0.8))));
+            case "/machine_types" ->
+                reply.send(
+                        200, Json.of("rigs", List.of(type("small", 4, 16, 0.4, 0.2), type("large", 16, 64, 1.6, 0.8))));
             case "/machines/release" -> {
                 for (Object item : Json.list(body.get("forges"))) {
                     String name = (String) item;
@@ -122,9 +123,27 @@
     }
 
     private static Map<String, Object> type(String name, int cpus, int memoryGb, double price, double spotPrice) {
-        return Json.of("name", name, "cpus", cpus, "gpus", 0, "mem_gb", memoryGb, "local_gb", 100,
-                "pull_gb_per_s", 1.0, "price", price, "spot_price", spotPrice, "ready_s", 10.0,
-                "yards", List.of("a", "b"));
+        return Json.of(
+                "name",
+                name,
+                "cpus",
+                cpus,
+                "gpus",
+                0,
+                "mem_gb",
+                memoryGb,
+                "local_gb",
+                100,
+                "pull_gb_per_s",
+                1.0,
+                "price",
+                price,
+                "spot_price",
+                spotPrice,
+                "ready_s",
+                10.0,
+                "yards",
+                List.of("a", "b"));
     }
 
     private void rent(Map<String, Object> body, Server.Reply reply) {
@@ -147,9 +166,21 @@
     private void list(Server.Reply reply) {
         List<Object> forges = new ArrayList<>();
         for (Rented rented : machines.values()) {
-            forges.add(Json.of("name_id", rented.name, "addr", FakeWorker.address(rented.name), "rig", rented.type,
-                    "yard", rented.zone, "loaners", rented.spot,
-                    "heat", running.contains(rented.name) ? "running" : "starting", "held_s", (time.nowMicros() - rentedMicros.get(rented.name)) / 1e6));
+            forges.add(Json.of(
+                    "name_id",
+                    rented.name,
+                    "addr",
+                    FakeWorker.address(rented.name),
+                    "rig",
+                    rented.type,
+                    "yard",
+                    rented.zone,
+                    "loaners",
+                    rented.spot,
+                    "heat",
+                    running.contains(rented.name) ? "running" : "starting",
+                    "held_s",
+                    (time.nowMicros() - rentedMicros.get(rented.name)) / 1e6));
         }
         reply.send(200, Json.of("forges", forges, "has_next", false));
     }
--- a/src/test/java/org/weldcourse/rehearsal/FakeNet.java
+++ b/src/test/java/org/weldcourse/rehearsal/FakeNet.java
@@ -97,8 +97,8 @@
                     return;
                 }
                 byte[] body = call.body() == null ? new byte[0] : Json.bytes(call.body());
-                handler.handle(new Server.Request(call.method(), call.path(), body),
-                        (status, answer, retryAfterSeconds) -> {
+                handler.handle(
+                        new Server.Request(call.method(), call.path(), body), (status, answer, retryAfterSeconds) -> {
                             // Through bytes, so that no object is shared between the two sides.
                             byte[] bytes = Json.bytes(answer);
                             if (call.path().equals("/checkin") && bytes.length > 64 * 1024) {
@@ -106,7 +106,9 @@
                             }
                             Map<String, Object> copy = Json.objectOrEmpty(bytes);
                             time.after(TRIP_MICROS, () -> {
-                                boolean lost = deaf.contains(from) || cuts.contains(way) || fate >= 0
+                                boolean lost = deaf.contains(from)
+                                        || cuts.contains(way)
+                                        || fate >= 0
                                         || refusals.contains(way) && call.path().startsWith("/watch");
                                 if (!lost) {
                                     finish(finished, done, new Caller.Answer(status, copy));
--- a/src/test/java/org/weldcourse/rehearsal/FakeState.java
+++ b/src/test/java/org/weldcourse/rehearsal/FakeState.java
@@ -12,11 +12,9 @@
 
 /** The state service as the protocol describes it, in memory. */
 public final class FakeState implements Server.Handler {
-    private record Value(Object value, long version, long lease) {
-    }
+    private record Value(Object value, long version, long lease) {}
 
-    private record Change(String key, Object value, long version) {
-    }
+    private record Change(String key, Object value, long version) {}
 
     private final FakeTime time;
     private int txnOps;
@@ -106,8 +104,7 @@
         if (path.startsWith("/store/")) {
             get(path.substring("/store/".length()), reply);
         } else if (path.startsWith("/store?")) {
-            list(parameter(path, "starts"), parameter(path, "after"),
-                    Integer.parseInt(parameter(path, "most")), reply);
+            list(parameter(path, "starts"), parameter(path, "after"), Integer.parseInt(parameter(path, "most")), reply);
         } else if (path.equals("/commit")) {
             commit(body, reply);
         } else if (path.equals("/grants")) {
@@ -122,8 +119,11 @@
             end(Long.parseLong(path.split("/")[2]));
             reply.send(200, Map.of());
         } else if (path.startsWith("/watch")) {
-            watch(parameter(path, "starts"), Long.parseLong(parameter(path, "after")),
-                    Long.parseLong(parameter(path, "block_ms")) * 1000, reply);
+            watch(
+                    parameter(path, "starts"),
+                    Long.parseLong(parameter(path, "after")),
+                    Long.parseLong(parameter(path, "block_ms")) * 1000,
+                    reply);
         } else {
             reply.send(400, Json.of("error", "malformed"));
         }
@@ -143,16 +143,25 @@
         if (value == null) {
             reply.send(404, Json.of("ledger", revision));
         } else {
-            reply.send(200, Json.of("path", key, "value", value.value, "mark", value.version, "permit",
-                    value.lease == 0 ? null : (Object) value.lease));
+            reply.send(
+                    200,
+                    Json.of(
+                            "path",
+                            key,
+                            "value",
+                            value.value,
+                            "mark",
+                            value.version,
+                            "permit",
+                            value.lease == 0 ? null : (Object) value.lease));
         }
     }
 
     private void list(String prefix, String after, int most, Server.Reply reply) {
         List<Object> pairs = new ArrayList<>();
         boolean more = false;
-        for (Map.Entry<String, Value> entry : values.tailMap(after == null ? prefix : after, after == null)
-                .entrySet()) {
+        for (Map.Entry<String, Value> entry :
+                values.tailMap(after == null ? prefix : after, after == null).entrySet()) {
             if (!entry.getKey().startsWith(prefix)) {
                 break;
             }
@@ -160,8 +169,14 @@
                 more = true;
                 break;
             }
-            pairs.add(Json.of("path", entry.getKey(), "value", entry.getValue().value, "mark",
-                    entry.getValue().version, "permit",
+            pairs.add(Json.of(
+                    "path",
+                    entry.getKey(),
+                    "value",
+                    entry.getValue().value,
+                    "mark",
+                    entry.getValue().version,
+                    "permit",
                     entry.getValue().lease == 0 ? null : (Object) entry.getValue().lease));
         }
         reply.send(200, Json.of("pairs", pairs, "has_next", more, "ledger", revision));
@@ -276,8 +291,10 @@
                 List<Object> events = new ArrayList<>();
                 for (Change change : changes) {
                     if (change.version > after && change.key.startsWith(prefix)) {
-                        events.add(change.value == null ? Json.of("delete", change.key, "mark", change.version)
-                                : Json.of("write", change.key, "value", change.value, "mark", change.version));
+                        events.add(
+                                change.value == null
+                                        ? Json.of("delete", change.key, "mark", change.version)
+                                        : Json.of("write", change.key, "value", change.value, "mark", change.version));
                     }
                 }
                 if (!events.isEmpty() && !answered[0]) {
--- a/src/test/java/org/weldcourse/rehearsal/FakeWorker.java
+++ b/src/test/java/org/weldcourse/rehearsal/FakeWorker.java
@@ -54,8 +54,15 @@
     private boolean inFlight;
     private long lastSentMicros = -1_000_000;
 
-    public FakeWorker(FakeTime time, Caller caller, List<String> controllers, Map<String, String> addressByName,
-            FakeCloud.Rented machine, Tasks tasks, long reportMicros, long leaseMicros) {
+    public FakeWorker(
+            FakeTime time,
+            Caller caller,
+            List<String> controllers,
+            Map<String, String> addressByName,
+            FakeCloud.Rented machine,
+            Tasks tasks,
+            long reportMicros,
+            long leaseMicros) {
         this.time = time;
         this.caller = caller;
         this.controllers = controllers;
@@ -177,23 +184,26 @@
         long sentSession = session;
         Map<String, Object> body = body();
         reports.add(body);
-        caller.call(new Caller.Call(controllers.get(target), "POST", "/checkin", body, 4_000_000), answer -> whenAwake(() -> {
-            inFlight = false;
-            if (!alive || sentSession != session) {
-                return;
-            }
-            if (answer.status() == 421) {
-                String foreman = addressByName.get(Json.text(answer.body(), "foreman"));
-                target = foreman == null || foreman.equals(controllers.get(target))
-                        ? (target + 1) % controllers.size() : controllers.indexOf(foreman);
-                time.after(200_000, this::report);
-            } else if (answer.status() == 200) {
-                answered(answer.body(), sentMicros);
-            } else {
-                target = (target + 1) % controllers.size();
-                time.after(1_000_000, this::report);
-            }
-        }));
+        caller.call(
+                new Caller.Call(controllers.get(target), "POST", "/checkin", body, 4_000_000),
+                answer -> whenAwake(() -> {
+                    inFlight = false;
+                    if (!alive || sentSession != session) {
+                        return;
+                    }
+                    if (answer.status() == 421) {
+                        String foreman = addressByName.get(Json.text(answer.body(), "foreman"));
+                        target = foreman == null || foreman.equals(controllers.get(target))
+                                ? (target + 1) % controllers.size()
+                                : controllers.indexOf(foreman);
+                        time.after(200_000, this::report);
+                    } else if (answer.status() == 200) {
+                        answered(answer.body(), sentMicros);
+                    } else {
+                        target = (target + 1) % controllers.size();
+                        time.after(1_000_000, this::report);
+                    }
+                }));
     }
 
     private void answered(Map<String, Object> body, long sentMicros) {
@@ -223,10 +233,27 @@
             }
             list.add(item);
         });
-        return Json.of("forge", machine.name(), "addr", address(machine.name()), "rig", machine.type(),
-                "yard", machine.zone(), "loaners", machine.spot(), "shift", session, "stitch", ++sequence,
-                "torch", token, "recall_s",
-                noticeEndsMicros < 0 ? null : (Object) ((noticeEndsMicros - time.nowMicros()) / 1e6), "beads", list);
+        return Json.of(
+                "forge",
+                machine.name(),
+                "addr",
+                address(machine.name()),
+                "rig",
+                machine.type(),
+                "yard",
+                machine.zone(),
+                "loaners",
+                machine.spot(),
+                "shift",
+                session,
+                "stitch",
+                ++sequence,
+                "torch",
+                token,
+                "recall_s",
+                noticeEndsMicros < 0 ? null : (Object) ((noticeEndsMicros - time.nowMicros()) / 1e6),
+                "beads",
+                list);
     }
 
     private void carryOut(List<Object> orders) {
@@ -264,11 +291,13 @@
         tasks.started(this, task, attempt);
         long runMicros = tasks.runMicros(task);
         if (runMicros < Long.MAX_VALUE) {
-            time.after(runMicros, () -> whenAwake(() -> {
-                if (beads.get(task) == fresh && fresh.heat.equals("running")) {
-                    exit(task, fresh, runMicros < 0 ? "error" : "done");
-                }
-            }));
+            time.after(
+                    runMicros,
+                    () -> whenAwake(() -> {
+                        if (beads.get(task) == fresh && fresh.heat.equals("running")) {
+                            exit(task, fresh, runMicros < 0 ? "error" : "done");
+                        }
+                    }));
         }
         changed();
     }
--- a/src/test/java/org/weldcourse/rehearsal/RecordCapture.java
+++ b/src/test/java/org/weldcourse/rehearsal/RecordCapture.java
@@ -34,7 +34,12 @@
 
     public static void main(String[] arguments) throws IOException {
         World world = new World(
-                2, 8, 4096, List.of(new Settings.Team("core", 0, 0, 0, 0)), List.of(), new Settings.NextState(50, 2048, 4));
+                2,
+                8,
+                4096,
+                List.of(new Settings.Team("core", 0, 0, 0, 0)),
+                List.of(),
+                new Settings.NextState(50, 2048, 4));
         world.time.passSeconds(2);
         for (int i = 0; i < 12; i++) {
             world.cloud.unexpected("large", i % 2 == 0 ? "a" : "b", false);
--- a/src/test/java/org/weldcourse/rehearsal/StandStill.java
+++ b/src/test/java/org/weldcourse/rehearsal/StandStill.java
@@ -48,11 +48,13 @@
     @Override
     public Timer after(long delayMicros, Runnable work) {
         boolean[] off = new boolean[1];
-        time.after(delayMicros, () -> run(() -> {
-            if (!off[0]) {
-                work.run();
-            }
-        }));
+        time.after(
+                delayMicros,
+                () -> run(() -> {
+                    if (!off[0]) {
+                        work.run();
+                    }
+                }));
         return () -> off[0] = true;
     }
 
--- a/src/test/java/org/weldcourse/rehearsal/World.java
+++ b/src/test/java/org/weldcourse/rehearsal/World.java
@@ -41,6 +41,7 @@
     private final Set<String> completed = new HashSet<>();
     /** The latest that any node told of a job. */
     private final Map<String, String> told = new HashMap<>();
+
     private int startsAfterCancellation;
     private int answers;
     private final Map<String, Controller> controllers = new LinkedHashMap<>();
@@ -54,8 +55,11 @@
     private final Settings.NextState next;
 
     public World(int nodes) {
-        this(nodes, 16, 32 * 1024, List.of(new Settings.Team("core", 0, 0, 0, 0),
-                new Settings.Team("capped", 0, 8, 0, 0)));
+        this(
+                nodes,
+                16,
+                32 * 1024,
+                List.of(new Settings.Team("core", 0, 0, 0, 0), new Settings.Team("capped", 0, 8, 0, 0)));
     }
 
     public World(int nodes, int txnOps, int valueBytes, List<Settings.Team> teams) {
@@ -67,7 +71,12 @@
     }
 
     /** A world whose state service may lower its limits to {@code next}; see {@link FakeState#limit}. */
-    public World(int nodes, int txnOps, int valueBytes, List<Settings.Team> teams, List<Settings.Objective> objectives,
+    public World(
+            int nodes,
+            int txnOps,
+            int valueBytes,
+            List<Settings.Team> teams,
+            List<Settings.Objective> objectives,
             Settings.NextState next) {
         this.next = next;
         this.objectives = objectives;
@@ -89,7 +98,9 @@
     private void beat() {
         for (Map.Entry<String, Controller> from : new ArrayList<>(controllers.entrySet())) {
             for (Map.Entry<String, Controller> to : new ArrayList<>(controllers.entrySet())) {
-                if (from != to && !fromPeers.contains(from.getKey()) && !fromPeers.contains(to.getKey())
+                if (from != to
+                        && !fromPeers.contains(from.getKey())
+                        && !fromPeers.contains(to.getKey())
                         && !stills.get(from.getKey()).isStill()) {
                     PeerStatus status = from.getValue().peers().own();
                     stills.get(to.getKey()).run(() -> to.getValue().peers().heard(status));
@@ -107,8 +118,8 @@
 
     public void startNode(String name) {
         StandStill still = new StandStill(time);
-        Controller controller = new Controller(settings(name), Tuning.DEFAULT, still.caller(net.caller(name)), time,
-                still);
+        Controller controller =
+                new Controller(settings(name), Tuning.DEFAULT, still.caller(net.caller(name)), time, still);
         stills.put(name, still);
         controllers.put(name, controller);
         net.host(addressByName.get(name), (request, reply) -> still.run(() -> controller.handle(request, reply)));
@@ -208,15 +219,33 @@
                 peers.add(new Settings.Peer(other, "a", other + ":81"));
             }
         });
-        return new Settings(name, "a", addressByName.get(name), name + ":81", peers, CLOUD, STATE,
-                List.of("a", "b"), teams, objectives,
+        return new Settings(
+                name,
+                "a",
+                addressByName.get(name),
+                name + ":81",
+                peers,
+                CLOUD,
+                STATE,
+                List.of("a", "b"),
+                teams,
+                objectives,
                 new Settings.Workers(REPORT_MICROS, LEASE_MICROS, 40_000_000, 4_000_000, CANCEL_MICROS),
-                new Settings.State(250, 50, valueBytes, txnOps, next), new Settings.Cloud(3, 8_000_000), 500);
+                new Settings.State(250, 50, valueBytes, txnOps, next),
+                new Settings.Cloud(3, 8_000_000),
+                500);
     }
 
     private void machineUp(FakeCloud.Rented rented) {
-        FakeWorker worker = new FakeWorker(time, net.caller(rented.name()), new ArrayList<>(addressByName.values()),
-                addressByName, rented, this, REPORT_MICROS, LEASE_MICROS);
+        FakeWorker worker = new FakeWorker(
+                time,
+                net.caller(rented.name()),
+                new ArrayList<>(addressByName.values()),
+                addressByName,
+                rented,
+                this,
+                REPORT_MICROS,
+                LEASE_MICROS);
         workers.put(rented.name(), worker);
         net.host(FakeWorker.address(rented.name()), worker);
     }
@@ -245,10 +274,47 @@
     }
 
     public static Map<String, Object> jobBody(String id, Object... changes) {
-        Map<String, Object> job = Json.of("name_id", id, "course", "any", "crew", "core", "shape", "array",
-                "rank", "normal", "beads", 4, "cpus", 2.0, "gpus", 0.0, "mem_gb", 4.0, "blank", "img",
-                "size_gb", 1.0, "rigs", null, "yard", null, "together", false, "apart", false, "loaners", true,
-                "expected_s", 10.0, "tack_s", 0.0, "quench_s", 0.0, "due_s", null);
+        Map<String, Object> job = Json.of(
+                "name_id",
+                id,
+                "course",
+                "any",
+                "crew",
+                "core",
+                "shape",
+                "array",
+                "rank",
+                "normal",
+                "beads",
+                4,
+                "cpus",
+                2.0,
+                "gpus",
+                0.0,
+                "mem_gb",
+                4.0,
+                "blank",
+                "img",
+                "size_gb",
+                1.0,
+                "rigs",
+                null,
+                "yard",
+                null,
+                "together",
+                false,
+                "apart",
+                false,
+                "loaners",
+                true,
+                "expected_s",
+                10.0,
+                "tack_s",
+                0.0,
+                "quench_s",
+                0.0,
+                "due_s",
+                null);
         job.putAll(Json.of(changes));
         return job;
     }
@@ -270,8 +336,9 @@
     /** Asks without waiting; what it hears is held against what was told before it asked. */
     public void pollSoon(String node, String id) {
         String before = told.get(id);
-        controllers.get(node).handle(new Server.Request("GET", "/v1/jobs/" + id, new byte[0]),
-                (status, body, retryAfterSeconds) -> {
+        controllers
+                .get(node)
+                .handle(new Server.Request("GET", "/v1/jobs/" + id, new byte[0]), (status, body, retryAfterSeconds) -> {
                     heed(id, before, new Answer(status, Json.objectOrEmpty(Json.bytes(body)), retryAfterSeconds));
                     answers++;
                 });
@@ -330,9 +397,12 @@
     /** Asks a node and lets time pass until it answers, for five seconds at most; status 0: no answer. */
     public Answer ask(String node, String method, String path, byte[] body) {
         Answer[] answer = new Answer[1];
-        controllers.get(node).handle(new Server.Request(method, path, body),
-                (status, object, retryAfterSeconds) ->
-                        answer[0] = new Answer(status, Json.objectOrEmpty(Json.bytes(object)), retryAfterSeconds));
+        controllers
+                .get(node)
+                .handle(
+                        new Server.Request(method, path, body),
+                        (status, object, retryAfterSeconds) -> answer[0] =
+                                new Answer(status, Json.objectOrEmpty(Json.bytes(object)), retryAfterSeconds));
         for (int i = 0; i < 500 && answer[0] == null; i++) {
             time.pass(10_000);
         }
--- a/src/test/java/org/weldcourse/runtime/DutyTest.java
+++ b/src/test/java/org/weldcourse/runtime/DutyTest.java
@@ -26,25 +26,26 @@
     };
 
     private Duty duty(int rest, boolean wakesItself) {
-        Duty duty = new Duty("slow", clock, (delayMicros, work) -> {
-            dueMicros = nowMicros + delayMicros;
-            pending = work;
-            return () -> pending = null;
-        }) {
-            @Override
-            protected int rest() {
-                return rest;
-            }
+        Duty duty =
+                new Duty("slow", clock, (delayMicros, work) -> {
+                    dueMicros = nowMicros + delayMicros;
+                    pending = work;
+                    return () -> pending = null;
+                }) {
+                    @Override
+                    protected int rest() {
+                        return rest;
+                    }
 
-            @Override
-            protected long step() {
-                if (wakesItself) {
-                    wakeIn(0);
-                }
-                nowMicros += tookMicros;
-                return 10 * MILLI;
-            }
-        };
+                    @Override
+                    protected long step() {
+                        if (wakesItself) {
+                            wakeIn(0);
+                        }
+                        nowMicros += tookMicros;
+                        return 10 * MILLI;
+                    }
+                };
         duty.start();
         return duty;
     }
--- a/src/test/java/org/weldcourse/settings/SettingsTest.java
+++ b/src/test/java/org/weldcourse/settings/SettingsTest.java
@@ -10,19 +10,49 @@
 import org.junit.jupiter.api.Test;
 
 class SettingsTest {
-    private static final String FILE = String.join("\n",
-            "host_name = \"n-1\"", "site = \"a\"", "api_addr = \"10.0.0.1:80\"", "back = \"10.0.0.1:81\"",
+    private static final String FILE = String.join(
+            "\n",
+            "host_name = \"n-1\"",
+            "site = \"a\"",
+            "api_addr = \"10.0.0.1:80\"",
+            "back = \"10.0.0.1:81\"",
             "unheard_of = [1, 2]",
-            "[[known]]", "host_name = \"n-2\"", "site = \"b\"", "address = \"10.0.0.2:81\"",
-            "[endpoints]", "cloud = \"10.1.0.1:1\"", "state = \"10.1.0.2:2\"",
-            "[deployment]", "zones = [\"a\", \"b\"]",
-            "[[deployment.teams]]", "name = \"t\"", "cpus = 4.0", "cpus_max = 0.0", "gpus = 0.0", "gpus_max = 2.0",
-            "[[deployment.objectives]]", "kind = \"deadline\"", "class = \"c\"", "share = 0.9", "times = 1.5",
-            "[deployment.workers]", "report_s = 1.5", "lease_s = 10", "gang_wait_s = 40.0", "gang_peer_s = 4.0",
+            "[[known]]",
+            "host_name = \"n-2\"",
+            "site = \"b\"",
+            "address = \"10.0.0.2:81\"",
+            "[endpoints]",
+            "cloud = \"10.1.0.1:1\"",
+            "state = \"10.1.0.2:2\"",
+            "[deployment]",
+            "zones = [\"a\", \"b\"]",
+            "[[deployment.teams]]",
+            "name = \"t\"",
+            "cpus = 4.0",
+            "cpus_max = 0.0",
+            "gpus = 0.0",
+            "gpus_max = 2.0",
+            "[[deployment.objectives]]",
+            "kind = \"deadline\"",
+            "class = \"c\"",
+            "share = 0.9",
+            "times = 1.5",
+            "[deployment.workers]",
+            "report_s = 1.5",
+            "lease_s = 10",
+            "gang_wait_s = 40.0",
+            "gang_peer_s = 4.0",
             "cancel_s = 35.0",
-            "[deployment.state]", "rps = 100.0", "write_rps = 50.0", "value_kb = 4.0", "txn_ops = 8",
-            "[deployment.cloud]", "rps = 3.0", "list_lag_s = 8.0",
-            "[deployment.quota]", "max_sockets = 500");
+            "[deployment.state]",
+            "rps = 100.0",
+            "write_rps = 50.0",
+            "value_kb = 4.0",
+            "txn_ops = 8",
+            "[deployment.cloud]",
+            "rps = 3.0",
+            "list_lag_s = 8.0",
+            "[deployment.quota]",
+            "max_sockets = 500");
 
     @Test
     void readsWhatItKnowsAndIgnoresTheRest() throws Exception {
@@ -37,8 +67,10 @@
 
     @Test
     void keepsToTheSmallerOfTheLimitsOfNowAndOfThen() throws Exception {
-        Settings.State state = SettingsFile.parse(new StringReader(FILE.replace("txn_ops = 8",
-                "txn_ops = 8\n[deployment.state.next]\nwrite_rps = 60.0\nvalue_kb = 2.0\ntxn_ops = 4"))).state();
+        Settings.State state = SettingsFile.parse(new StringReader(FILE.replace(
+                        "txn_ops = 8",
+                        "txn_ops = 8\n[deployment.state.next]\nwrite_rps = 60.0\nvalue_kb = 2.0\ntxn_ops = 4")))
+                .state();
         assertEquals(2048, state.safeValueBytes());
         assertEquals(4, state.safeTxnOps());
         assertEquals(50.0, state.safeWritesPerSecond());
@@ -48,17 +80,29 @@
     @Test
     void namesWhatIsMissingOrInvalid() {
         for (String[] change : new String[][] {
-                {"report_s = 1.5", "", "report_s"}, {"report_s = 1.5", "report_s = 0", "report_s"},
-                {"api_addr = \"10.0.0.1:80\"", "api_addr = \"here\"", "api_addr"},
-                {"[endpoints]", "[elsewhere]", "endpoints"}, {"txn_ops = 8", "txn_ops = \"x\"", "txn_ops"},
-                {"txn_ops = 8", "txn_ops = 0.5", "txn_ops"},
-                {"txn_ops = 8", "txn_ops = 8\nnext = 3", "next"},
-                {"txn_ops = 8", "txn_ops = 8\n[deployment.state.next]\nvalue_kb = 2.0\ntxn_ops = 4", "state.next: missing or invalid field: write_rps"},
-                {"txn_ops = 8", "txn_ops = 8\n[deployment.state.next]\nwrite_rps = 9\nvalue_kb = 0\ntxn_ops = 4", "state.next: must be above 0: value_kb"},
-                {"max_sockets = 500", "max_sockets = 20", "max_sockets = 20 is too small"},
-                {"max_sockets = 500", "max_sockets = 500\nmemory_mb = 64.0", "memory_mb = 64.0 is too small"},
-                {"host_name = \"n-1\"", "host_name = ", "TOML"}}) {
-            SettingsFile.Invalid invalid = assertThrows(SettingsFile.Invalid.class,
+            {"report_s = 1.5", "", "report_s"},
+            {"report_s = 1.5", "report_s = 0", "report_s"},
+            {"api_addr = \"10.0.0.1:80\"", "api_addr = \"here\"", "api_addr"},
+            {"[endpoints]", "[elsewhere]", "endpoints"},
+            {"txn_ops = 8", "txn_ops = \"x\"", "txn_ops"},
+            {"txn_ops = 8", "txn_ops = 0.5", "txn_ops"},
+            {"txn_ops = 8", "txn_ops = 8\nnext = 3", "next"},
+            {
+                "txn_ops = 8",
+                "txn_ops = 8\n[deployment.state.next]\nvalue_kb = 2.0\ntxn_ops = 4",
+                "state.next: missing or invalid field: write_rps"
+            },
+            {
+                "txn_ops = 8",
+                "txn_ops = 8\n[deployment.state.next]\nwrite_rps = 9\nvalue_kb = 0\ntxn_ops = 4",
+                "state.next: must be above 0: value_kb"
+            },
+            {"max_sockets = 500", "max_sockets = 20", "max_sockets = 20 is too small"},
+            {"max_sockets = 500", "max_sockets = 500\nmemory_mb = 64.0", "memory_mb = 64.0 is too small"},
+            {"host_name = \"n-1\"", "host_name = ", "TOML"}
+        }) {
+            SettingsFile.Invalid invalid = assertThrows(
+                    SettingsFile.Invalid.class,
                     () -> SettingsFile.parse(new StringReader(FILE.replace(change[0], change[1]))));
             assertTrue(invalid.getMessage().contains(change[2]), invalid.getMessage());
             assertEquals(1, invalid.getMessage().lines().count());
@@ -78,11 +122,15 @@
 
     @Test
     void operatorsSettingsAreChecked() {
-        for (String xml : new String[] {"<other/>", "<weldcourse><what>1</what></weldcourse>", "<weldcourse>",
-                "<weldcourse><warm-machines>many</warm-machines></weldcourse>",
-                "<weldcourse><state-lease-s>0</state-lease-s></weldcourse>",
-                "<!DOCTYPE weldcourse [<!ENTITY e SYSTEM \"file:///etc/passwd\">]><weldcourse>"
-                        + "<idle-hold-s>&e;</idle-hold-s></weldcourse>"}) {
+        for (String xml : new String[] {
+            "<other/>",
+            "<weldcourse><what>1</what></weldcourse>",
+            "<weldcourse>",
+            "<weldcourse><warm-machines>many</warm-machines></weldcourse>",
+            "<weldcourse><state-lease-s>0</state-lease-s></weldcourse>",
+            "<!DOCTYPE weldcourse [<!ENTITY e SYSTEM \"file:///etc/passwd\">]><weldcourse>"
+                    + "<idle-hold-s>&e;</idle-hold-s></weldcourse>"
+        }) {
             assertThrows(SettingsFile.Invalid.class, () -> tuning(xml), xml);
         }
     }
--- a/src/test/java/org/weldcourse/workers/ReconcilerTest.java
+++ b/src/test/java/org/weldcourse/workers/ReconcilerTest.java
@@ -18,7 +18,16 @@
     private final Reconciler reconciler = new Reconciler(board, 7, 10_000_000);
 
     private static Report report(long sequence, long token, TaskName task) {
-        return new Report("m-000001", "x:1", "large", "a", false, 1, sequence, token, Report.NO_NOTICE,
+        return new Report(
+                "m-000001",
+                "x:1",
+                "large",
+                "a",
+                false,
+                1,
+                sequence,
+                token,
+                Report.NO_NOTICE,
                 List.of(new Report.Task(task, 1, Report.State.RUNNING, null)));
     }
 
@@ -29,14 +38,31 @@
         Machine machine = board.machine("m-000001", 0);
         Booking booking = board.book(job, 0, 1, machine, 0);
         booking.persisted = true;
-        assertEquals(List.of(), reconciler.report(machine, report(1, 7, booking.name), true, 1_000).orders());
+        assertEquals(
+                List.of(),
+                reconciler
+                        .report(machine, report(1, 7, booking.name), true, 1_000)
+                        .orders());
         job.cancelled = true;
         List<Order> halt = List.of(Order.halt(booking.name, 1, 0));
-        assertEquals(halt, reconciler.report(machine, report(2, 7, booking.name), true, 2_000).orders());
-        // Nor does one that teaches nothing carry it along: under another token, or while the machine is on its way out.
-        assertEquals(halt, reconciler.report(machine, report(3, 6, booking.name), true, 3_000).orders());
+        assertEquals(
+                halt,
+                reconciler
+                        .report(machine, report(2, 7, booking.name), true, 2_000)
+                        .orders());
+        // Nor does one that teaches nothing carry it along: under another token, or while the machine is on its way
+        // out.
+        assertEquals(
+                halt,
+                reconciler
+                        .report(machine, report(3, 6, booking.name), true, 3_000)
+                        .orders());
         machine.released = true;
-        assertEquals(halt, reconciler.report(machine, report(4, 7, booking.name), true, 4_000).orders());
+        assertEquals(
+                halt,
+                reconciler
+                        .report(machine, report(4, 7, booking.name), true, 4_000)
+                        .orders());
         assertTrue(booking.haltSent);
     }
 }
