--- a/src/main/java/org/weldcourse/admission/Decisions.java
+++ b/src/main/java/org/weldcourse/admission/Decisions.java
@@ -1,5 +1,6 @@
 package org.weldcourse.admission;
 
+import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
@@ -9,7 +10,18 @@
 public record Decisions(List<Admission> admissions, List<Stop> stops, List<Waiting> waiting, Set<String> held) {
 
     /** Tasks in ascending order by machine. */
-    public record Admission(String job, Map<String, int[]> tasks) {}
+    public record Admission(String job, Map<String, int[]> tasks) {
+        /** Adds further tasks, which all come after those on the same machines. */
+        void add(Map<String, int[]> more) {
+            more.forEach((machine, some) -> tasks.merge(machine, some, Admission::concatenate));
+        }
+
+        private static int[] concatenate(int[] first, int[] second) {
+            int[] both = Arrays.copyOf(first, first.length + second.length);
+            System.arraycopy(second, 0, both, first.length, second.length);
+            return both;
+        }
+    }
 
     /** A gang is stopped whole. */
     public record Stop(String job, int task, boolean wholeGang) {}
--- a/src/main/java/org/weldcourse/admission/Planner.java
+++ b/src/main/java/org/weldcourse/admission/Planner.java
@@ -727,7 +727,10 @@
             entry.getKey().take(job.spec(), chosen.length);
             usage.take(job.spec(), chosen.length);
         }
-        if (admissions.size() < bounds.mostAdmissions) {
+        if (isLastAdmitted(job)) {
+            // What displaces others joins what found free room: one job's records are never written twice at once.
+            admissions.get(admissions.size() - 1).add(tasks);
+        } else if (admissions.size() < bounds.mostAdmissions) {
             admissions.add(new Decisions.Admission(job.spec().id(), tasks));
         } else {
             // Past the bound the room is spoken for all the same, or less important work would be admitted instead, and
@@ -736,4 +739,9 @@
             held.addAll(tasks.keySet());
         }
     }
+
+    private boolean isLastAdmitted(JobView job) {
+        return !admissions.isEmpty()
+                && admissions.get(admissions.size() - 1).job().equals(job.spec().id());
+    }
 }
--- a/src/main/java/org/weldcourse/admission/Recorder.java
+++ b/src/main/java/org/weldcourse/admission/Recorder.java
@@ -145,6 +145,11 @@
      * already, along with what is finished, as long as it fits: changes are dear, their size is not.
      */
     public void admit(Job job, int attempt, List<Booking> booked, Admitted then) {
+        if (job.recording) {
+            // What the write under way holds does not count as standing yet: this one would take it out of the record.
+            then.accept(false);
+            return;
+        }
         SliceCodec.Admitted fresh = new SliceCodec.Admitted();
         booked.forEach(booking -> fresh.add(booking.machine.name, attempt, booking.task));
         Map<String, SliceCodec.Admitted> writes = new LinkedHashMap<>();
--- a/src/test/java/org/weldcourse/app/ServicesTest.java
+++ b/src/test/java/org/weldcourse/app/ServicesTest.java
@@ -7,6 +7,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static org.weldcourse.rehearsal.World.jobBody;
 
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -16,8 +17,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import org.weldcourse.http.Json;
+import org.weldcourse.rehearsal.FakeNet;
 import org.weldcourse.rehearsal.FakeWorker;
 import org.weldcourse.rehearsal.World;
+import org.weldcourse.settings.Settings;
 
 /** Services: replicas that run until their user cancels them, and run again elsewhere when they are lost. */
 class ServicesTest {
@@ -148,6 +151,140 @@
         }
     }
 
+    private static void loseZone(World world, String zone) {
+        world.workers.values().stream()
+                .filter(worker -> worker.machine().zone().equals(zone))
+                .forEach(worker -> worker.freeze(true));
+    }
+
+    @Test
+    void replicasReturnWhenZonesAreLostOneAfterTheOther() {
+        World world = served(3, "apart", true);
+        for (String zone : List.of("b", "a", "b")) {
+            Set<String> lost = machines(world);
+            lost.removeIf(
+                    machine -> !world.workers.get(machine).machine().zone().equals(zone));
+            assertFalse(lost.isEmpty());
+            loseZone(world, zone);
+            world.time.passSeconds(12);
+            assertTrue(world.cloud.released.containsAll(lost), "their return is the evidence");
+            awaitReplicas(world, 4, 20);
+        }
+        assertEquals(10, starts(world), "two replicas were lost with each zone");
+    }
+
+    /** The team's limit is 8 CPUs; what nobody has said to be gone holds its part of it, whoever leads. */
+    @ParameterizedTest
+    @ValueSource(booleans = {false, true})
+    void servicesOfOneTeamNeverExceedItsLimit(boolean leaderEnds) {
+        World world = served(3, "crew", "capped");
+        world.runMicros.put("req-000002", Long.MAX_VALUE);
+        world.runMicros.put("req-000003", Long.MAX_VALUE);
+        Map<String, Object> second = service("name_id", "req-000002", "crew", "capped");
+        Map<String, Object> third = service("name_id", "req-000003", "crew", "capped", "beads", 3);
+        assertEquals(201, world.submit("n0", second).status());
+        world.time.passSeconds(4);
+        assertEquals(8, world.runningTasks());
+        assertEquals(201, world.submit("n0", third).status());
+        assertEquals(
+                201,
+                world.submit("n0", jobBody("req-000004", "rank", "urgent", "crew", "capped"))
+                        .status());
+        // Replicas of the first are on machines that nobody reaches, and it is cancelled: the cloud can't say that they
+        // are gone.
+        world.cloud.down(true);
+        machines(world).forEach(machine -> world.workers.get(machine).freeze(true));
+        if (leaderEnds) {
+            world.killNode(world.leader());
+        }
+        world.time.passSeconds(6);
+        String node = world.alive().get(0);
+        assertEquals("cancelled", world.withdraw(node, ID).state());
+        world.time.passSeconds(20);
+        assertFalse(world.starts.containsKey("req-000003/0"), "the limit is taken as long as nobody knows better");
+        world.cloud.down(false);
+        world.time.passSeconds(30);
+        for (int replica = 0; replica < 3; replica++) {
+            assertNotNull(world.whereIs("req-000003/" + replica), "replica " + replica + " of the third runs now");
+        }
+        assertEquals(7, world.runningTasks());
+    }
+
+    @Test
+    void aGuaranteeComesTrueWhereServicesOfAnotherTeamBorrowedIt() {
+        List<Settings.Team> teams =
+                List.of(new Settings.Team("core", 0, 0, 0, 0), new Settings.Team("owner", 8, 0, 0, 0));
+        World world = new World(1, 16, 32 * 1024, teams);
+        world.time.passSeconds(2);
+        world.cloud.unexpected("large", "a", false);
+        world.cloud.capacity = 1;
+        world.time.passSeconds(7);
+        world.runMicros.put(ID, Long.MAX_VALUE);
+        assertEquals(201, world.submit("n0", service("beads", 8, "cpus", 2.0)).status());
+        world.time.passSeconds(4);
+        assertEquals(8, replicas(world).size(), "the machine is full");
+        world.runMicros.put("req-000002", 300_000_000L);
+        assertEquals(
+                201,
+                world.submit("n0", jobBody("req-000002", "crew", "owner", "rank", "idle", "beads", 4))
+                        .status());
+        world.time.passSeconds(8);
+        assertEquals(4, replicas(world).size());
+        assertEquals(8, world.runningTasks(), "the team has its guarantee, of whatever rank its work is");
+    }
+
+    /**
+     * Some replicas find free room and others displace lower ranks. When that made two admissions of one job, the second was
+     * refused, the record written anew without the first, whose answer came late, and a new leader ran the first once more.
+     */
+    @ParameterizedTest
+    @ValueSource(longs = {0, 150_000, 400_000, 1_200_000})
+    void anAdmissionWhoseAnswerIsLateStaysOnRecord(long answerLateMicros) {
+        World world = new World(2);
+        world.time.passSeconds(2);
+        world.cloud.unexpected("large", "a", false);
+        world.cloud.capacity = 1;
+        world.time.passSeconds(7);
+        world.runMicros.put("req-000002", 300_000_000L);
+        world.submit("n0", jobBody("req-000002", "rank", "idle", "beads", 7));
+        world.time.passSeconds(4);
+        int[] admissions = new int[1];
+        world.net.fates((from, call) -> {
+            boolean admits = call.path().equals("/commit")
+                    && new String(Json.bytes(call.body()), StandardCharsets.UTF_8).contains("\"write\":\"slices/" + ID);
+            return admits && admissions[0]++ == 0 ? FakeNet.answeredLate(answerLateMicros) : FakeNet.NORMAL;
+        });
+        world.runMicros.put(ID, Long.MAX_VALUE);
+        assertEquals(201, world.submit("n0", service()).status());
+        awaitReplicas(world, 4, 8);
+        assertEquals(1, admissions[0], "one admission for those that found room and those that displaced others");
+        world.killNode(world.leader());
+        world.time.passSeconds(20);
+        assertEquals(4, replicas(world).size());
+        assertEquals(4, starts(world) - 7, "none started again");
+    }
+
+    /** However its replicas are under way when it is cancelled, all are gone, and none starts after. */
+    @ParameterizedTest
+    @ValueSource(doubles = {0.05, 0.4, 7.2, 8.0, 9.0, 12.0})
+    void cancelledWhileAReplacementIsUnderWay(double cancelAfter) {
+        World world = served(2);
+        world.whereIs(ID + "/0").freeze(true);
+        world.time.passSeconds(cancelAfter);
+        assertEquals("cancelled", world.withdraw("n0", ID).state());
+        world.time.passSeconds(4);
+        long reachable = world.workers.values().stream()
+                .filter(worker -> !worker.isFrozen())
+                .mapToLong(worker -> replicas(world).stream()
+                        .filter(task -> world.whereIs(task) == worker)
+                        .count())
+                .sum();
+        assertEquals(0, reachable, "at once where they can be reached");
+        world.time.passSeconds(30);
+        assertEquals(0, world.runningTasks());
+        assertEquals(0, world.startsAfterCancellation());
+    }
+
     @Test
     void neverDoneNotEvenWhenAllReplicasEnd() {
         World world = served(2);
--- a/src/test/java/org/weldcourse/rehearsal/FakeNet.java
+++ b/src/test/java/org/weldcourse/rehearsal/FakeNet.java
@@ -28,6 +28,11 @@
     public static final long NORMAL = -1;
     public static final long ANSWER_LOST = 0;
 
+    /** The call is carried out as usual, and its answer comes so much later. */
+    public static long answeredLate(long micros) {
+        return NORMAL - micros;
+    }
+
     public void fates(Fates newFates) {
         fates = newFates;
     }
@@ -105,7 +110,7 @@
                                 throw new AssertionError("an answer of " + bytes.length + " bytes to a worker");
                             }
                             Map<String, Object> copy = Json.objectOrEmpty(bytes);
-                            time.after(TRIP_MICROS, () -> {
+                            time.after(TRIP_MICROS + Math.max(0, NORMAL - fate), () -> {
                                 boolean lost = deaf.contains(from)
                                         || cuts.contains(way)
                                         || fate >= 0
--- a/src/test/java/org/weldcourse/rehearsal/FakeWorker.java
+++ b/src/test/java/org/weldcourse/rehearsal/FakeWorker.java
@@ -116,6 +116,10 @@
         report();
     }
 
+    public boolean isFrozen() {
+        return frozen;
+    }
+
     /** It hangs: nothing on it goes on, and what comes for it waits until it does. */
     public void freeze(boolean isFrozen) {
         frozen = isFrozen;
