--- a/src/test/java/org/weldcourse/app/UpgradeTest.java
+++ b/src/test/java/org/weldcourse/app/UpgradeTest.java
@@ -218,6 +218,70 @@
         assertEquals(0, world.runningTasks());
     }
 
+    /** The state service of the tests fails a test that sends it a value or transaction over its limits. */
+    @Test
+    void limitsAreLoweredBeforeEachCommitOfAWholeDay() {
+        int commits = 0;
+        while (commitsOfADayThatLowersLimitsBefore(commits) > commits) {
+            commits++;
+        }
+        assertTrue(commits > 40, "commits of a day: " + commits);
+    }
+
+    /**
+     * Arrays that end bit by bit, a cancellation, a machine with replicas lost, an election, the end of a service and the
+     * sweep of what is left.
+     */
+    private static int commitsOfADayThatLowersLimitsBefore(int commit) {
+        World world = world(1024, 8, new Settings.NextState(50, 768, 4));
+        int[] seen = new int[1];
+        world.net.fates((from, call) -> {
+            if (call.path().equals("/commit") && seen[0]++ == commit) {
+                world.state.limit(4, 768);
+            }
+            return FakeNet.NORMAL;
+        });
+        world.time.passSeconds(2);
+        for (int i = 0; i < 4; i++) {
+            world.cloud.unexpected("large", i % 2 == 0 ? "a" : "b", false);
+        }
+        world.time.passSeconds(6);
+        for (int task = 0; task < 200; task++) {
+            world.runMicros.put("req-000001/" + task, 2_000_000L + 900_000L * (task % 17));
+        }
+        submit(world, "req-000001", "beads", 200, "cpus", 0.5, "mem_gb", 0.5);
+        world.runMicros.put("req-000002", Long.MAX_VALUE);
+        submit(world, "req-000002", "shape", "service", "rank", "prod", "expected_s", 0.0, "cpus", 1.0);
+        world.runMicros.put("req-000003", Long.MAX_VALUE);
+        submit(world, "req-000003", "beads", 6);
+        for (int job = 4; job < 9; job++) {
+            world.runMicros.put("req-00000" + job, 3_000_000L * job);
+            submit(world, "req-00000" + job, "beads", 2, "shape", job % 2 == 0 ? "ensemble" : "array");
+        }
+        world.time.passSeconds(4);
+        assertEquals("cancelled", world.withdraw("n1", "req-000003").state());
+        world.whereIs("req-000002/0").freeze(true);
+        world.time.passSeconds(12);
+        world.killNode(world.leader());
+        String node = world.alive().get(0);
+        for (int job : new int[] {1, 4, 5, 6, 7, 8}) {
+            assertTrue(
+                    world.reaches(node, "req-00000" + job, "done", 120), "job " + job + " with limits from " + commit);
+        }
+        for (int replica = 0; replica < 4; replica++) {
+            assertTrue(world.whereIs("req-000002/" + replica) != null, "replica " + replica);
+        }
+        assertEquals("cancelled", world.withdraw(node, "req-000002").state());
+        world.time.passSeconds(20);
+        assertEquals(0, world.runningTasks());
+        assertEquals(List.of(), world.state.keys("slices/"));
+        return seen[0];
+    }
+
+    private static void submit(World world, String id, Object... changes) {
+        assertEquals(201, world.submit("n0", jobBody(id, changes)).status());
+    }
+
     @Test
     void recordsWrittenUnderLargerLimitsAreDividedWhenTheyAreWrittenNext() {
         World world = world(4096, 8, new Settings.NextState(50, 1024, 4));
