--- a/src/main/java/org/weldcourse/admission/MachineRoom.java
+++ b/src/main/java/org/weldcourse/admission/MachineRoom.java
@@ -27,6 +27,8 @@
     double memoryGbAhead;
     /** The gang that it is held for while the rest of that gang's places are found. */
     JobSpec heldFor;
+    /** Replicas of services, all services together. */
+    int replicas;
     /** Few machines have any in a cycle. */
     Set<TaskView> victims = Set.of();
 
@@ -38,6 +40,7 @@
         gpus = machine.type().gpus() - machine.load().gpus();
         memoryGb = machine.type().memoryGb() - machine.load().memoryGb();
         for (TaskView task : machine.load().tasks()) {
+            replicas += task.job().service() && !task.stopping() ? 1 : 0;
             // One that is past its time may go on for long: nothing is booked behind it.
             if (task.running() && !task.stopping() && task.isDue(nowMicros, untilMicros)) {
                 cpusAhead += task.job().cpus();
@@ -75,7 +78,15 @@
         return replicas;
     }
 
+    /** How long a task of the job waits for its image here. */
+    double fetchSeconds(JobSpec job) {
+        return machine.load().images().contains(job.image())
+                ? 0
+                : job.imageGb() / Math.max(0.01, machine.type().fetchGbPerSecond());
+    }
+
     void take(JobSpec job, int tasks) {
+        replicas += job.service() ? tasks : 0;
         cpus -= job.cpus() * tasks;
         gpus -= job.gpus() * tasks;
         memoryGb -= job.memoryGb() * tasks;
--- a/src/main/java/org/weldcourse/admission/Planner.java
+++ b/src/main/java/org/weldcourse/admission/Planner.java
@@ -240,7 +240,7 @@
                 open.add(room);
             }
         }
-        sortByPreference(open, spec);
+        sort(open, spec);
         Map<MachineRoom, Integer> counts = new LinkedHashMap<>();
         int left = most;
         int keptBack = 0;
@@ -276,7 +276,7 @@
         if (left > 0) {
             boolean reclaims = reclaims(job, usage);
             allowed.removeIf(room -> !mayYield(job, reclaims, room));
-            sortByPreference(allowed, spec);
+            sort(allowed, spec);
             left -= displaceForArray(job, usage, allowed, onlyZone, zoneCounts, left);
         }
         if (left > 0
@@ -300,6 +300,14 @@
         return a.cpus() <= b.cpus() && a.gpus() <= b.gpus() && a.memoryGb() <= b.memoryGb();
     }
 
+    private static void sort(List<MachineRoom> rooms, JobSpec spec) {
+        if (spec.service()) {
+            ReplicaPlacement.sort(rooms, spec);
+        } else {
+            sortByPreference(rooms, spec);
+        }
+    }
+
     private static void sortByPreference(List<MachineRoom> rooms, JobSpec spec) {
         for (MachineRoom room : rooms) {
             room.sought =
--- a/src/main/java/org/weldcourse/admission/ReplicaPlacement.java
+++ b/src/main/java/org/weldcourse/admission/ReplicaPlacement.java
@@ -1,16 +1,57 @@
 package org.weldcourse.admission;
 
+import java.util.Comparator;
 import java.util.List;
 import java.util.Map;
 import org.weldcourse.jobs.JobSpec;
 
-/** Spreads the replicas of a service over machines, so that the loss of one machine takes few of them. */
+/**
+ * Chooses machines for the replicas of a service: where they start soon, so that the loss of one machine takes few of them,
+ * and so that few machines are held by replicas alone.
+ */
 final class ReplicaPlacement {
     /** Of so many machines each holds its part of a service's replicas. */
     private static final int MACHINES_PER_SERVICE = 3;
 
+    /** A machine with more than this part of all replicas takes no more of them while there are others. */
+    private static final int MACHINES_FOR_ALL = 6;
+    /** Below this many on one machine the part of all replicas does not matter. */
+    private static final int FEW_REPLICAS = 6;
+    /** An image that is fetched within this time hardly delays a start. */
+    private static final double SHORT_FETCH_SECONDS = 3;
+
     private ReplicaPlacement() {}
 
+    /**
+     * Sorts machines by preference: those that start a replica soonest, which stopping a gang does not, of these the ones
+     * that hold replicas already, and then the ones that cost least as a whole: a machine with a single replica can't be
+     * returned for as long as its service runs.
+     */
+    static void sort(List<MachineRoom> rooms, JobSpec spec) {
+        int all = rooms.stream().mapToInt(room -> room.replicas).sum();
+        int most = Math.max(FEW_REPLICAS, (all + MACHINES_FOR_ALL - 1) / MACHINES_FOR_ALL);
+        rooms.sort(Comparator.comparing((MachineRoom room) -> displacesGang(room, spec))
+                .thenComparingInt(room -> fetchStep(room.fetchSeconds(spec)))
+                .thenComparing(room -> room.replicas >= most)
+                .thenComparing(room -> room.replicas == 0)
+                .thenComparingDouble(room -> room.machine.type().price(room.machine.spot()))
+                .thenComparingDouble(room -> room.cpus)
+                .thenComparing(room -> room.machine.name()));
+    }
+
+    /** Tasks stand in the order in which they would be displaced: where the first is a gang's, no other is. */
+    private static boolean displacesGang(MachineRoom room, JobSpec spec) {
+        List<Snapshot.TaskView> tasks = room.machine.load().tasks();
+        return room.fits(spec) == 0 && !tasks.isEmpty() && tasks.get(0).job().gang();
+    }
+
+    private static int fetchStep(double fetchSeconds) {
+        if (fetchSeconds <= 0) {
+            return 0;
+        }
+        return fetchSeconds <= SHORT_FETCH_SECONDS ? 1 : 2;
+    }
+
     /**
      * Spreads a service's replicas, in the order of the machines: an equal part of them on each at most, as long as there
      * are enough. What then finds no place is left to be packed as arrays are. Counts what it takes by machine and zone.
--- a/src/test/java/org/weldcourse/admission/PlannerTest.java
+++ b/src/test/java/org/weldcourse/admission/PlannerTest.java
@@ -158,6 +158,43 @@
         assertEquals(Set.of("m-2", "m-3"), tasks.keySet());
     }
 
+    private static JobView service(int replicas) throws Exception {
+        JobSpec spec = spec(
+                "req-000001", "shape", "service", "rank", "prod", "beads", replicas, "cpus", 1.0, "expected_s", 0.0);
+        return new JobView(spec, pending(replicas), NOW, false, new long[0], NOW, SECOND, Map.of(), Set.of());
+    }
+
+    @Test
+    void replicasOfDifferentServicesShareMachinesUpToAPart() throws Exception {
+        JobSpec other = spec("req-000009", "shape", "service", "rank", "prod", "cpus", 1.0, "expected_s", 0.0);
+        JobSpec array = spec("req-000008", "rank", "idle", "cpus", 8.0);
+        TaskView replica = new TaskView(other, 0, false, NOW - 60 * SECOND, Long.MAX_VALUE / 2);
+        TaskView task = new TaskView(array, 0, false, NOW - SECOND, 30 * SECOND);
+        List<MachineView> machines = List.of(
+                machine("m-1", task),
+                machine("m-2", replica),
+                machine("m-3", replica),
+                machine("m-4", task),
+                machine("m-5"),
+                machine("m-6", replica, replica, replica, replica, replica, replica));
+        Map<String, int[]> tasks =
+                decide(PLENTY, machines, service(6)).admissions().get(0).tasks();
+        assertEquals(Set.of("m-1", "m-2", "m-3"), tasks.keySet(), "with replicas, then the fullest; m-6 has its part");
+        assertTrue(tasks.values().stream().allMatch(some -> some.length == 2), "a third of the service on each");
+    }
+
+    @Test
+    void replicasDisplaceArraysRatherThanGangs() throws Exception {
+        JobSpec gang = spec("req-000009", "shape", "ensemble", "rank", "urgent", "cpus", 16.0);
+        JobSpec array = spec("req-000008", "rank", "idle", "cpus", 16.0);
+        List<MachineView> machines = List.of(
+                machine("m-1", new TaskView(gang, 0, false, NOW - SECOND, 60 * SECOND)),
+                machine("m-2", new TaskView(array, 0, false, NOW - 50 * SECOND, 60 * SECOND)));
+        Decisions decisions = decide(PLENTY, machines, service(1));
+        assertEquals(Set.of("m-2"), decisions.admissions().get(0).tasks().keySet());
+        assertEquals("req-000008", decisions.stops().get(0).job());
+    }
+
     @Test
     void arraysAreBookedAheadOnRoomThatIsFreeInAMoment() throws Exception {
         JobSpec other = spec("req-000009", "cpus", 8.0);
