--- a/src/main/java/org/weldcourse/fleet/FleetKeeper.java
+++ b/src/main/java/org/weldcourse/fleet/FleetKeeper.java
@@ -34,6 +34,11 @@
     private static final double LOAD_MEMORY_MICROS = 60e6;
     private static final long TAKEN_MARGIN_MICROS = 1_000_000;
     private static final double SPOT_PATIENCE = 0.6;
+    /** After this part of a lease a machine counts as silent when its zone is looked at. */
+    private static final double ZONE_SILENCE = 0.4;
+    /** Machines of the earlier leader are waited for a little longer than their lease. */
+    private static final long INHERITED_MARGIN_MICROS = 5_000_000;
+
     private static final int MOST_PER_REQUEST = 50;
     private static final int MOST_NEW_AT_ONCE = 200;
     private static final int JOBS_TO_BLAME_MACHINE = 2;
@@ -71,6 +76,7 @@
     private int rentalsInFlight;
     private boolean releaseInFlight;
     private boolean hearsMost = true;
+    private Set<String> silentZones = Set.of();
     private boolean listInFlight;
     private boolean hasListed;
 
@@ -297,8 +303,7 @@
      * work once more, beside the machines that run it already.
      */
     private boolean isTakingOver(long nowMicros) {
-        long takeOverMicros = TAKE_OVER_REPORTS * settings.workers().reportMicros() + TAKE_OVER_RECONNECT_MICROS;
-        if (nowMicros - startedMicros > takeOverMicros) {
+        if (nowMicros - startedMicros > takeOverMicros()) {
             return false;
         }
         int heard = 0;
@@ -310,6 +315,11 @@
         return !hasListed || unheard > TAKE_OVER_UNHEARD_SHARE * (heard + unheard);
     }
 
+    /** After an election, the time in which workers find the new leader and report under its token. */
+    private long takeOverMicros() {
+        return TAKE_OVER_REPORTS * settings.workers().reportMicros() + TAKE_OVER_RECONNECT_MICROS;
+    }
+
     private static boolean isBooting(Machine machine, long nowMicros) {
         return machine.starting && machine.bookings.isEmpty() && !overdue(machine, nowMicros);
     }
@@ -423,6 +433,7 @@
         }
         List<String> names = new ArrayList<>();
         hearsMost = hearsMost(nowMicros);
+        silentZones = silentZones(nowMicros);
         Map<String, Integer> spare = new HashMap<>();
         startAims.forEach((name, shape) -> spare.put(name, openHosts(shape, nowMicros) - tuning.warmMachines()));
         List<Machine> dearestFirst = new ArrayList<>(board.machines.values());
@@ -486,7 +497,7 @@
             long waitedMicros = nowMicros - startedMicros;
             if (booked) {
                 // Known only from an earlier leader's records, and not heard of since.
-                return waitedMicros > settings.workers().leaseMicros() + 5_000_000 ? "silent" : null;
+                return waitedMicros > patienceWithInherited(machine) ? "silent" : null;
             }
             return hopeless(machine, nowMicros)
                             && waitedMicros > settings.workers().leaseMicros()
@@ -507,11 +518,55 @@
         if (hearsMost && machine.isDeafFor(settings.workers().leaseMicros(), nowMicros)) {
             return "its reports arrive, answers don't reach it";
         }
-        // A spot machine that falls silent was most likely taken; an ordinary one may be cut off and working. But the
-        // time
-        // of replicas on it is lost either way, and its return is what lets them run elsewhere.
-        double patience = (hearsMost ? 1 : 2) * (machine.spot || holdsReplicas(machine) ? SPOT_PATIENCE : 1);
-        return silentMicros > patience * silenceMicros() ? "silent" : null;
+        return silentMicros > patienceMicros(machine) ? "silent" : null;
+    }
+
+    /**
+     * How long a machine may be silent. A spot machine was most likely taken, and one that died with replicas takes their
+     * time as long as it is waited for. But one that is cut off goes on working until its lease ends, and when a whole zone
+     * falls silent, so are its machines: if the cut is short, nothing is lost, and else no more than with an early return.
+     */
+    private double patienceMicros(Machine machine) {
+        boolean mayBeDead = machine.spot || holdsReplicas(machine);
+        double share = mayBeDead && !silentZones.contains(machine.zone) ? SPOT_PATIENCE : 1;
+        return (hearsMost ? 1 : 2) * share * silenceMicros();
+    }
+
+    /** Zones of whose ordinary machines most are silent: these don't die together. */
+    private Set<String> silentZones(long nowMicros) {
+        Map<String, Integer> heardLessSilent = new HashMap<>();
+        for (Machine machine : board.machines.values()) {
+            if (machine.isUp() && !machine.spot && !machine.releasing) {
+                boolean silent = nowMicros - machine.heardMicros > ZONE_SILENCE * silenceMicros();
+                heardLessSilent.merge(String.valueOf(machine.zone), silent ? -1 : 1, Integer::sum);
+            }
+        }
+        heardLessSilent.values().removeIf(difference -> difference >= 0);
+        return heardLessSilent.keySet();
+    }
+
+    /**
+     * How long after the election a machine of the earlier leader may be silent. One that holds replicas is given the time
+     * in which the others found the new leader: its lease will end unheard, and its return lets them run elsewhere.
+     */
+    private long patienceWithInherited(Machine machine) {
+        long leaseMicros = settings.workers().leaseMicros();
+        if (holdsReplicas(machine) && hearsMostInherited()) {
+            return Math.max(takeOverMicros(), (long) (leaseMicros * SPOT_PATIENCE));
+        }
+        return leaseMicros + INHERITED_MARGIN_MICROS;
+    }
+
+    private boolean hearsMostInherited() {
+        int heard = 0;
+        int booked = 0;
+        for (Machine machine : board.machines.values()) {
+            if (!machine.bookings.isEmpty()) {
+                booked++;
+                heard += machine.isUp() ? 1 : 0;
+            }
+        }
+        return heard * 2 >= booked;
     }
 
     private static boolean holdsReplicas(Machine machine) {
--- a/src/test/java/org/weldcourse/app/ServicesTest.java
+++ b/src/test/java/org/weldcourse/app/ServicesTest.java
@@ -123,6 +123,42 @@
         assertEquals("running", world.poll(world.alive().get(0), ID).state());
     }
 
+    /** What a new leader has not heard of for most of a lease is lost to its users; the lease will end unheard. */
+    @Test
+    void replicasOnMachinesThatWentWithTheLeaderAreNotWaitedForMuchLonger() {
+        World world = served(3);
+        FakeWorker worker = world.whereIs(ID + "/0");
+        worker.freeze(true);
+        world.killNode(world.leader());
+        int tenths = 0;
+        while (!world.cloud.released.contains(worker.machine().name()) && tenths < 300) {
+            world.time.pass(100_000);
+            tenths++;
+        }
+        assertTrue(tenths < 130, "returned after " + tenths / 10.0 + " s");
+        awaitReplicas(world, 4, 2);
+    }
+
+    /** Silent for less than a lease, the machines of a zone go on, and nothing has to be started again. */
+    @Test
+    void replicasOutliveASilenceOfTheirZoneThatIsShorterThanTheirLease() {
+        World world = served(1);
+        List<String> machines = new ArrayList<>();
+        world.workers.forEach((name, worker) -> {
+            if (worker.machine().zone().equals("b")) {
+                machines.add(name);
+            }
+        });
+        assertEquals(2, machines.size());
+        machines.forEach(machine -> world.workers.get(machine).freeze(true));
+        world.time.passSeconds(8.5);
+        machines.forEach(machine -> world.workers.get(machine).freeze(false));
+        world.time.passSeconds(10);
+        assertTrue(machines.stream().noneMatch(world.cloud.released::contains), world.cloud.released.toString());
+        assertEquals(4, starts(world));
+        assertEquals(4, replicas(world).size());
+    }
+
     @Test
     void aSilentMachineWithReplicasIsNotWaitedForAsLongAsOthers() {
         World world = served(1);
