--- a/src/main/java/org/weldcourse/admission/Board.java
+++ b/src/main/java/org/weldcourse/admission/ClusterState.java
@@ -13,8 +13,8 @@
 import org.weldcourse.workers.TaskName;
 
 /** All that a leader knows during one term: open jobs, machines, and which task is booked or seen where. */
-public final class Board {
-    private static final Logger LOG = LoggerFactory.getLogger(Board.class);
+public final class ClusterState {
+    private static final Logger LOG = LoggerFactory.getLogger(ClusterState.class);
     private static final int MACHINES_TO_BLAME_JOB = 3;
     private static final long FIRST_BACKOFF_MICROS = 5_000_000;
     /** A job must not be left waiting for 90 s where there is room, be it for its own faults. */
--- a/src/main/java/org/weldcourse/admission/Drill.java
+++ b/src/main/java/org/weldcourse/admission/LeaderWarmUp.java
@@ -20,7 +20,7 @@
 import org.weldcourse.jobs.Keys;
 import org.weldcourse.jobs.SliceCodec;
 import org.weldcourse.runtime.Clock;
-import org.weldcourse.runtime.Duty;
+import org.weldcourse.runtime.ScheduledTask;
 import org.weldcourse.runtime.Timers;
 import org.weldcourse.settings.Settings;
 import org.weldcourse.store.Store;
@@ -31,10 +31,10 @@
 /**
  * Practice of a node that does not lead. A new leader's first reports and cycles would else be the first that its process
  * ever did: code that was never run is many times as slow, just when all workers come at once, and on a small share of a
- * core such a leader lost its lease before it was done. So a made-up board is planned, reported on and recorded here, in
+ * core such a leader lost its lease before it was done. So a made-up cluster is planned, reported on and recorded here, in
  * small steps that leave most of the processor to the node's users. Nothing of it leaves the process.
  */
-public final class Drill extends Duty implements Handler {
+public final class LeaderWarmUp extends ScheduledTask implements Handler {
     private static final int ROUNDS = 24;
     private static final int MACHINES = 16;
     private static final long TOKEN = 1;
@@ -49,8 +49,8 @@
     private final Timers timers;
     private final Iterator<Runnable> steps = new Steps();
     private Front front;
-    Board board;
-    private Outlook outlook;
+    ClusterState cluster;
+    private SnapshotBuilder outlook;
     private Reconciler reconciler;
     private Recorder recorder;
     private long nowMicros;
@@ -69,7 +69,7 @@
     }
 
     /** A warm-up that begins when it is started. */
-    public Drill(Settings settings, Clock clock, Timers timers, Spare spare) {
+    public LeaderWarmUp(Settings settings, Clock clock, Timers timers, Spare spare) {
         super("drill", clock, timers);
         this.settings = settings;
         this.timers = timers;
@@ -78,7 +78,7 @@
         this.types = List.of(
                 new MachineType("small", 8, 0, 16, 50, 0.4, 0.5, 0.2, 30_000_000, zones),
                 new MachineType("large", 32, 0, 128, 50, 0.4, 2.0, 0.8, 30_000_000, zones));
-        this.nowhere = new Store(Drill::answered, clock, "nowhere");
+        this.nowhere = new Store(LeaderWarmUp::answered, clock, "nowhere");
     }
 
     /** Sends the made-up reports through this front end. */
@@ -109,7 +109,7 @@
         return LEAST_REST_MICROS;
     }
 
-    /** Rounds of a board set up anew, reports of all its machines, a cycle, and the reports that follow from it. */
+    /** Rounds of a cluster set up anew, reports of all its machines, a cycle, and the reports that follow from it. */
     private final class Steps implements Iterator<Runnable> {
         private static final int REPORTS = 3;
         private int round;
@@ -125,25 +125,25 @@
             int here = at++;
             int each = MACHINES + 1;
             if (here == 0) {
-                return Drill.this::setUp;
+                return LeaderWarmUp.this::setUp;
             }
             if (here <= REPORTS * each) {
                 int machine = (here - 1) % each;
                 int pass = (here - 1) / each;
-                return machine < MACHINES ? () -> report(machine, pass) : Drill.this::cycle;
+                return machine < MACHINES ? () -> report(machine, pass) : LeaderWarmUp.this::cycle;
             }
             at = 0;
             round++;
-            return Drill.this::readBack;
+            return LeaderWarmUp.this::readBack;
         }
     }
 
     private void setUp() {
         nowMicros = clock.nowMicros();
         sequence = 0;
-        board = new Board();
-        outlook = new Outlook(board, settings);
-        reconciler = new Reconciler(board, TOKEN, settings.workers().leaseMicros());
+        cluster = new ClusterState();
+        outlook = new SnapshotBuilder(cluster, settings);
+        reconciler = new Reconciler(cluster, TOKEN, settings.workers().leaseMicros());
         recorder = new Recorder(nowhere, clock, timers, settings.state(), 1, new Recorder.Events() {
             @Override
             public void recorded(Job job) {}
@@ -155,7 +155,7 @@
             public void outdated() {}
         });
         for (int i = 0; i < MACHINES; i++) {
-            Machine machine = board.machine(machineName(i), nowMicros);
+            Machine machine = cluster.machine(machineName(i), nowMicros);
             machine.type = types.get(i % types.size());
         }
         job(1, Shape.GANG, Rank.HIGH, 3, 30);
@@ -190,7 +190,7 @@
         try {
             // By way of its record, as a leader reads it.
             JobSpec spec = JobCodec.spec(Json.object(Json.parse(Json.bytes(JobCodec.record(made, 0, false)))));
-            board.jobs.put(spec.id(), new Job(spec, 1, nowMicros));
+            cluster.jobs.put(spec.id(), new Job(spec, 1, nowMicros));
         } catch (Json.BadJson | JobCodec.Malformed impossible) {
             throw new IllegalStateException(impossible);
         }
@@ -202,7 +202,7 @@
 
     /** A worker's report: what it was told to run fetches at first, runs in the next pass and is done in the one after. */
     private void report(int number, int pass) {
-        Machine machine = board.machines.get(machineName(number));
+        Machine machine = cluster.machines.get(machineName(number));
         List<Object> tasks = new ArrayList<>();
         for (Booking booking : machine.bookings.values()) {
             if (booking.runSent || booking.seen) {
@@ -257,7 +257,7 @@
     public void handle(Request request, Reply reply) {
         Report report = CheckinCodec.report(request.body());
         Reconciler.Result result =
-                reconciler.report(board.machine(report.machine(), nowMicros), report, true, nowMicros);
+                reconciler.report(cluster.machine(report.machine(), nowMicros), report, true, nowMicros);
         reply.send(200, CheckinCodec.answer(TOKEN, result.orders()));
     }
 
@@ -267,30 +267,30 @@
         Decisions decisions = Planner.decide(
                 snapshot, new Planner.Bounds(50, 10, settings.workers().reportMicros()));
         for (Decisions.Admission admission : decisions.admissions()) {
-            Job job = board.jobs.get(admission.job());
+            Job job = cluster.jobs.get(admission.job());
             List<Booking> booked = new ArrayList<>();
             int attempt = job.lastAttempt + 1;
             admission.tasks().forEach((machine, tasks) -> {
                 for (int task : tasks) {
-                    booked.add(board.book(job, task, attempt, board.machines.get(machine), nowMicros));
+                    booked.add(cluster.book(job, task, attempt, cluster.machines.get(machine), nowMicros));
                 }
             });
             recorder.admit(job, attempt, booked, onRecord -> booked.forEach(booking -> booking.persisted = onRecord));
         }
         List<FleetPlanner.Host> hosts = new ArrayList<>();
-        for (Machine machine : board.machines.values()) {
+        for (Machine machine : cluster.machines.values()) {
             hosts.add(new FleetPlanner.Host(
                     machine.type,
                     machine.zone,
                     machine.spot,
                     false,
                     nowMicros,
-                    machine.load(board.runTimes).cpus() * 1e6,
+                    machine.load(cluster.runTimes).cpus() * 1e6,
                     0,
                     new double[Rank.values().length]));
         }
         FleetPlanner.plan(outlook.needs(decisions.waiting()), hosts, types, Set.of(), 50, nowMicros);
-        for (Machine machine : board.machines.values()) {
+        for (Machine machine : cluster.machines.values()) {
             reconciler.wantsBell(machine);
             reconciler.bell(machine);
         }
@@ -298,7 +298,7 @@
 
     /** As a leader reads its predecessor's records. */
     private void readBack() {
-        for (Job job : board.jobs.values()) {
+        for (Job job : cluster.jobs.values()) {
             SliceCodec.Admitted admitted = new SliceCodec.Admitted();
             job.bookings.values().forEach(booking -> admitted.add(booking.machine.name, booking.attempt, booking.task));
             Map<String, Object> record = SliceCodec.record(admitted, job.lastAttempt, 1, job.done);
--- a/src/main/java/org/weldcourse/admission/Recorder.java
+++ b/src/main/java/org/weldcourse/admission/Recorder.java
@@ -15,11 +15,11 @@
 import org.weldcourse.runtime.Clock;
 import org.weldcourse.runtime.Timers;
 import org.weldcourse.settings.Settings;
-import org.weldcourse.store.Pacer;
+import org.weldcourse.store.RateLimiter;
+import org.weldcourse.store.RetryingCommit;
 import org.weldcourse.store.Store;
 import org.weldcourse.store.Store.Outcome;
-import org.weldcourse.store.SureCommit;
-import org.weldcourse.store.Txn;
+import org.weldcourse.store.Transaction;
 
 /** Puts a leader's decisions on record. Every commit is guarded by the epoch of the term. */
 public final class Recorder {
@@ -48,7 +48,7 @@
     private final Timers timers;
     private final Settings.State limits;
     private final long epochVersion;
-    private final Pacer pacer;
+    private final RateLimiter pacer;
     private final Events events;
     private final int valueBytes;
     private final int txnOps;
@@ -78,7 +78,7 @@
         this.limits = limits;
         this.epochVersion = epochVersion;
         this.events = events;
-        this.pacer = new Pacer(
+        this.pacer = new RateLimiter(
                 clock,
                 limits.safeWritesPerSecond() * SHARE_OF_WRITES,
                 limits.safeWritesPerSecond() * SHARE_OF_WRITES * BURST_SECONDS);
@@ -104,13 +104,13 @@
         ended = true;
     }
 
-    private Txn guarded() {
-        return new Txn().guard("epoch", epochVersion);
+    private Transaction guarded() {
+        return new Transaction().guard("epoch", epochVersion);
     }
 
-    private void commit(Txn txn, SureCommit.Done done) {
+    private void commit(Transaction txn, RetryingCommit.Done done) {
         pacer.spend(txn.ops());
-        SureCommit.send(store, timers, txn, () -> !ended, (commit, unclear) -> {
+        RetryingCommit.send(store, timers, txn, () -> !ended, (commit, unclear) -> {
             if (commit.outcome() == Outcome.NO && commit.failed().contains("epoch")) {
                 events.outdated();
                 return;
@@ -207,7 +207,7 @@
     private void write(Job job, Map<String, SliceCodec.Admitted> writes, Admitted then) {
         BitSet done = keepsDone(job) ? (BitSet) job.done.clone() : null;
         int writing = ++job.writings;
-        Txn txn = guarded().guard(Keys.open(job.spec.id()), job.version);
+        Transaction txn = guarded().guard(Keys.open(job.spec.id()), job.version);
         writes.forEach((key, part) -> txn.guard(key, job.records.getOrDefault(key, 0L))
                 .put(key, SliceCodec.record(part, job.lastAttempt, writing, done)));
         put(job, txn, writes.keySet(), writing, onRecord -> {
@@ -232,7 +232,7 @@
         });
     }
 
-    private void put(Job job, Txn txn, Set<String> keys, int writing, Admitted then) {
+    private void put(Job job, Transaction txn, Set<String> keys, int writing, Admitted then) {
         job.recording = true;
         job.savedMicros = clock.nowMicros();
         commit(txn, (commit, unclear) -> {
@@ -352,7 +352,7 @@
     private void saveShards(Job job, Admitted then) {
         BitSet saving = (BitSet) job.done.clone();
         int writing = ++job.writings;
-        Txn txn = guarded().guard(Keys.open(job.spec.id()), job.version);
+        Transaction txn = guarded().guard(Keys.open(job.spec.id()), job.version);
         Set<String> keys = new LinkedHashSet<>();
         for (int shard = 0; shard * shardTasks < job.spec.tasks(); shard++) {
             int from = shard * shardTasks;
@@ -420,7 +420,7 @@
         job.closing = true;
         String id = job.spec.id();
         String state = job.cancelled ? "cancelled" : "done";
-        Txn txn = guarded()
+        Transaction txn = guarded()
                 .guard(Keys.open(id), job.version)
                 .delete(Keys.open(id))
                 .put(Keys.done(id), Json.of("heat", state, "done", job.done.cardinality()));
@@ -478,7 +478,7 @@
             return;
         }
         int some = Math.min(keys.size(), Math.max(1, txnOps / 2));
-        Txn txn = guarded();
+        Transaction txn = guarded();
         keys.subList(0, some).forEach(txn::delete);
         List<String> rest = new ArrayList<>(keys.subList(some, keys.size()));
         commit(txn, (commit, unclear) -> sweep(rest));
--- a/src/main/java/org/weldcourse/admission/Outlook.java
+++ b/src/main/java/org/weldcourse/admission/SnapshotBuilder.java
@@ -13,8 +13,8 @@
 import org.weldcourse.jobs.JobSpec;
 import org.weldcourse.settings.Settings;
 
-/** How the board looks to the planners: what one cycle decides on, and what it leaves for the fleet to find room for. */
-final class Outlook {
+/** How the cluster looks to the planners: what one cycle decides on, and what it leaves for the fleet to find room for. */
+final class SnapshotBuilder {
     /** Estimates err and machines boot late: plan to be done after this part of the time allowed. */
     private static final double DUE_SHARE = 0.85;
     /** How long a place stays empty between two tasks, in reports, for the fleet plan: bells and booking ahead shorten it. */
@@ -22,7 +22,7 @@
 
     private static final long LEAST_RUN_MICROS = 1_000_000;
 
-    private final Board board;
+    private final ClusterState cluster;
     private final Settings settings;
 
     /** The highest rank of classes with an aim for their start that need such a machine, or null. */
@@ -30,14 +30,14 @@
         JobSpec.Rank by(Machine machine);
     }
 
-    Outlook(Board board, Settings settings) {
-        this.board = board;
+    SnapshotBuilder(ClusterState cluster, Settings settings) {
+        this.cluster = cluster;
         this.settings = settings;
     }
 
     Snapshot snapshot(long nowMicros, SoughtBy sought) {
-        List<MachineView> machines = new ArrayList<>(board.machines.size());
-        for (Machine machine : board.machines.values()) {
+        List<MachineView> machines = new ArrayList<>(cluster.machines.size());
+        for (Machine machine : cluster.machines.values()) {
             if (machine.usable() && nowMicros - machine.heardMicros < quietMicros()) {
                 machines.add(new MachineView(
                         machine.name,
@@ -45,11 +45,11 @@
                         machine.zone,
                         machine.spot,
                         sought.by(machine),
-                        machine.load(board.runTimes)));
+                        machine.load(cluster.runTimes)));
             }
         }
         List<JobView> jobs = new ArrayList<>();
-        for (Job job : board.jobs.values()) {
+        for (Job job : cluster.jobs.values()) {
             if (job.canBeBooked(nowMicros)) {
                 Map<String, Integer> zones = job.spec.oneZone() || job.spec.spread() ? zoneCounts(job) : Map.of();
                 boolean begun = !job.bookings.isEmpty() || !job.done.isEmpty();
@@ -60,14 +60,14 @@
                         begun,
                         admitByMicros(job, begun),
                         latestStartMicros(job),
-                        board.runTimes.expectedMicros(job),
+                        cluster.runTimes.expectedMicros(job),
                         zones,
                         job.badMachines));
             }
         }
         List<TeamView> teams = new ArrayList<>();
         for (Settings.Team team : settings.teams()) {
-            teams.add(new TeamView(team, board.usedCpus(team.name()), board.usedGpus(team.name())));
+            teams.add(new TeamView(team, cluster.usedCpus(team.name()), cluster.usedGpus(team.name())));
         }
         return new Snapshot(nowMicros, machines, jobs, teams);
     }
@@ -91,13 +91,13 @@
         for (Decisions.Waiting item : waiting) {
             if (!item.byQuota()) {
                 JobSpec spec = item.spec();
-                Job job = board.jobs.get(spec.id());
+                Job job = cluster.jobs.get(spec.id());
                 needs.add(new FleetPlanner.Need(
                         spec,
                         item.tasks(),
                         spec.service()
                                 ? LEAST_RUN_MICROS
-                                : Math.max(LEAST_RUN_MICROS, board.runTimes.expectedMicros(job)),
+                                : Math.max(LEAST_RUN_MICROS, cluster.runTimes.expectedMicros(job)),
                         (long) (settings.workers().reportMicros() * GAP_REPORTS),
                         dueMicros(job),
                         item.freeByZone(),
@@ -132,14 +132,14 @@
             }
         }
         if (endByMicros > 0) {
-            admitBy.add(job.acceptedMicros + endByMicros - board.runTimes.expectedMicros(job));
+            admitBy.add(job.acceptedMicros + endByMicros - cluster.runTimes.expectedMicros(job));
         }
         return admitBy.build().sorted().toArray();
     }
 
     /** Jobs that must start sooner come first; those without any time to keep to come by age. */
     private long latestStartMicros(Job job) {
-        return job.spec.service() ? job.acceptedMicros : dueMicros(job) - board.runTimes.expectedMicros(job);
+        return job.spec.service() ? job.acceptedMicros : dueMicros(job) - cluster.runTimes.expectedMicros(job);
     }
 
     /** When the job should be done: well before its deadline, or the time that its class's aim names. */
--- a/src/main/java/org/weldcourse/admission/Term.java
+++ b/src/main/java/org/weldcourse/admission/Term.java
@@ -8,9 +8,9 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.weldcourse.fleet.Cloud;
-import org.weldcourse.fleet.FleetKeeper;
 import org.weldcourse.fleet.FleetPlanner;
-import org.weldcourse.fleet.TypesDuty;
+import org.weldcourse.fleet.MachinePool;
+import org.weldcourse.fleet.MachineTypesTask;
 import org.weldcourse.http.Caller;
 import org.weldcourse.http.Server.Reply;
 import org.weldcourse.jobs.JobCodec;
@@ -19,7 +19,7 @@
 import org.weldcourse.jobs.SliceCodec;
 import org.weldcourse.leadership.Leadership;
 import org.weldcourse.runtime.Clock;
-import org.weldcourse.runtime.Duty;
+import org.weldcourse.runtime.ScheduledTask;
 import org.weldcourse.runtime.Timers;
 import org.weldcourse.settings.Settings;
 import org.weldcourse.settings.Tuning;
@@ -34,7 +34,7 @@
  * One leader's time in office. It reads the records back, answers the workers, and cycles: finished work is put
  * on record, what waits is admitted against a snapshot, and what must stop is told so.
  */
-public final class Term extends Duty {
+public final class Term extends ScheduledTask {
     private static final Logger LOG = LoggerFactory.getLogger(Term.class);
     private static final long IDLE_CYCLE_MICROS = 1_000_000;
     private static final long SOON_MICROS = 10_000;
@@ -55,11 +55,11 @@
 
     private final Parts parts;
     private final long token;
-    private final Board board = new Board();
-    private final Outlook outlook;
+    private final ClusterState cluster = new ClusterState();
+    private final SnapshotBuilder outlook;
     private final Reconciler reconciler;
     private final Recorder recorder;
-    private final FleetKeeper fleet;
+    private final MachinePool fleet;
     private final int mostTasksPerAdmission;
     private final long startedMicros;
     private final RenewalBound renewals;
@@ -82,7 +82,7 @@
             Settings settings,
             Tuning tuning,
             Leadership leadership,
-            TypesDuty types,
+            MachineTypesTask types,
             Outage outage) {}
 
     /** Whether the state service, when it does not serve this node, serves no other either, by their own word. */
@@ -98,9 +98,9 @@
         this.token = token;
         this.startedMicros = parts.clock().nowMicros();
         this.renewals = new RenewalBound(parts.settings().workers());
-        this.outlook = new Outlook(board, parts.settings());
+        this.outlook = new SnapshotBuilder(cluster, parts.settings());
         this.reconciler =
-                new Reconciler(board, token, parts.settings().workers().leaseMicros());
+                new Reconciler(cluster, token, parts.settings().workers().leaseMicros());
         this.mostTasksPerAdmission =
                 Recorder.mostTasksPerAdmission(parts.settings().state());
         this.recorder = new Recorder(
@@ -125,8 +125,8 @@
                         parts.leadership().doubt();
                     }
                 });
-        this.fleet = new FleetKeeper(
-                board,
+        this.fleet = new MachinePool(
+                cluster,
                 parts.cloud(),
                 parts.types(),
                 parts.settings(),
@@ -134,7 +134,7 @@
                 token,
                 parts.clock(),
                 parts.timers(),
-                new FleetKeeper.Office() {
+                new MachinePool.Office() {
                     @Override
                     public boolean holds() {
                         return parts.leadership().leaseHolds();
@@ -199,7 +199,7 @@
             LOG.info(
                     "token {}: took over {} open jobs, {} records, {} ms after its election",
                     token,
-                    board.jobs.size(),
+                    cluster.jobs.size(),
                     slices.entries().size() + done.entries().size(),
                     (clock.nowMicros() - startedMicros) / 1000);
             wakeIn(0);
@@ -220,7 +220,7 @@
         records.addAll(done);
         for (Store.Entry entry : records) {
             String id = Keys.jobOf(entry.key());
-            Job job = board.jobs.get(id);
+            Job job = cluster.jobs.get(id);
             if (job != null) {
                 restore(job, entry, () -> recorder.restore(job, entry));
             } else if (!unreadable.contains(id)) {
@@ -228,7 +228,7 @@
             }
         }
         for (Store.Entry entry : slices) {
-            Job job = board.jobs.get(Keys.jobOf(entry.key()));
+            Job job = cluster.jobs.get(Keys.jobOf(entry.key()));
             if (job != null) {
                 restore(
                         job,
@@ -261,9 +261,9 @@
             return;
         }
         if (earlier != null) {
-            board.drop(earlier);
+            cluster.drop(earlier);
         }
-        Booking booking = board.book(job, task, attempt, board.machine(machineName, nowMicros), nowMicros);
+        Booking booking = cluster.book(job, task, attempt, cluster.machine(machineName, nowMicros), nowMicros);
         booking.persisted = true;
         booking.record = record;
     }
@@ -338,7 +338,7 @@
             } else if (read.outcome() == Outcome.NO) {
                 LOG.info("{}: over already", job.spec.id());
                 job.closed = true;
-                board.evict(job, 0);
+                cluster.evict(job, 0);
             } else {
                 parts.timers().after(RETRY_MICROS, () -> readJob(job));
                 return;
@@ -350,7 +350,7 @@
 
     private void jobWritten(String key, Map<String, Object> value, long version) {
         String id = Keys.jobOf(key);
-        Job job = board.jobs.get(id);
+        Job job = cluster.jobs.get(id);
         if (job == null) {
             try {
                 JobSpec spec = JobCodec.spec(value);
@@ -361,7 +361,7 @@
                 unreadable.add(id);
                 return;
             }
-            board.jobs.put(id, job);
+            cluster.jobs.put(id, job);
             fleet.jobSeen(job.spec);
         }
         if (version >= job.version && !job.closed) {
@@ -380,12 +380,12 @@
             return;
         }
         // A late copy may speak of a machine that is long gone; one that is there comes again with our token.
-        boolean stranger = report.token() != token && !board.machines.containsKey(report.machine());
+        boolean stranger = report.token() != token && !cluster.machines.containsKey(report.machine());
         if (!loaded || stranger || fleet.isGone(report.machine())) {
             reply.send(200, CheckinCodec.answer(token, reconciler.haltsOfCancelled(report)));
             return;
         }
-        Machine machine = board.machine(report.machine(), nowMicros);
+        Machine machine = cluster.machine(report.machine(), nowMicros);
         if (machine.type == null) {
             machine.type = parts.types().byName(report.type());
         }
@@ -431,10 +431,10 @@
             return -1;
         }
         long nowMicros = clock.nowMicros();
-        for (Job job : new ArrayList<>(board.jobs.values())) {
+        for (Job job : new ArrayList<>(cluster.jobs.values())) {
             tend(job, nowMicros);
         }
-        for (Machine machine : board.machines.values()) {
+        for (Machine machine : cluster.machines.values()) {
             drain(machine, nowMicros);
         }
         if (parts.leadership().leaseHolds()) {
@@ -445,8 +445,8 @@
             fleet.start();
         }
         direct();
-        earliestCycleMicros = clock.nowMicros() + PAUSE_EACH_MICROS * (board.machines.size() + board.jobs.size());
-        if (nowMicros >= nextStatusMicros && !(board.jobs.isEmpty() && board.machines.isEmpty())) {
+        earliestCycleMicros = clock.nowMicros() + PAUSE_EACH_MICROS * (cluster.machines.size() + cluster.jobs.size());
+        if (nowMicros >= nextStatusMicros && !(cluster.jobs.isEmpty() && cluster.machines.isEmpty())) {
             nextStatusMicros = nowMicros + STATUS_MICROS;
             LOG.info("token {}: {}", token, status());
         }
@@ -457,7 +457,7 @@
     private String status() {
         int up = 0;
         int quiet = 0;
-        for (Machine machine : board.machines.values()) {
+        for (Machine machine : cluster.machines.values()) {
             up += machine.isUp() ? 1 : 0;
             quiet += machine.isUp() && clock.nowMicros() - machine.heardMicros > outlook.quietMicros() ? 1 : 0;
         }
@@ -466,7 +466,7 @@
         int replicas = 0;
         int replicasRunning = 0;
         int replicasWaiting = 0;
-        for (Job job : board.jobs.values()) {
+        for (Job job : cluster.jobs.values()) {
             pending += job.pending.cardinality();
             booked += job.bookings.size();
             if (job.spec.service() && !job.cancelled) {
@@ -476,7 +476,7 @@
                 replicasWaiting += job.pending.cardinality();
             }
         }
-        return board.jobs.size() + " jobs open, " + booked + " tasks booked, " + pending + " waiting ("
+        return cluster.jobs.size() + " jobs open, " + booked + " tasks booked, " + pending + " waiting ("
                 + waitingByQuota + " for their team's limit); "
                 + (replicas == 0
                         ? ""
@@ -484,12 +484,12 @@
                                 + " waiting for a place, " + (replicas - replicasRunning - replicasWaiting)
                                 + " booked or leaving; ")
                 + up + " machines up, " + quiet + " silent, "
-                + (board.machines.size() - up) + " coming; " + fleet.spending();
+                + (cluster.machines.size() - up) + " coming; " + fleet.spending();
     }
 
     private void tend(Job job, long nowMicros) {
         if (job.closed) {
-            board.jobs.remove(job.spec.id());
+            cluster.jobs.remove(job.spec.id());
             return;
         }
         if (job.stale) {
@@ -498,7 +498,7 @@
         if (job.allDone()) {
             recorder.close(job);
         } else if (job.cancelled) {
-            board.evict(job, 0);
+            cluster.evict(job, 0);
             if (job.bookings.isEmpty()) {
                 recorder.close(job);
             }
@@ -523,7 +523,7 @@
                         booking.name,
                         booking.attempt,
                         booking.machine.name);
-                board.evict(job, job.spec.saveMicros());
+                cluster.evict(job, job.spec.saveMicros());
                 return;
             }
         }
@@ -538,7 +538,7 @@
             if (booking.stop) {
                 continue;
             }
-            if (nowMicros + board.runTimes.leftMicros(booking, nowMicros) < machine.takenBackAtMicros) {
+            if (nowMicros + cluster.runTimes.leftMicros(booking, nowMicros) < machine.takenBackAtMicros) {
                 continue;
             }
             stop(booking);
@@ -548,7 +548,7 @@
     private void stop(Booking booking) {
         long graceMicros = booking.job.spec.checkpointMicros() > 0 ? booking.job.spec.saveMicros() + 1_000_000 : 0;
         if (booking.job.spec.gang()) {
-            board.evict(booking.job, graceMicros);
+            cluster.evict(booking.job, graceMicros);
         } else {
             booking.requestStop(graceMicros);
         }
@@ -560,7 +560,7 @@
                 new Planner.Bounds(mostTasksPerAdmission, recorder.mostAdmissions(), (long)
                         (parts.settings().workers().reportMicros() * AHEAD_REPORTS)));
         for (Decisions.Stop stop : decisions.stops()) {
-            Job job = board.jobs.get(stop.job());
+            Job job = cluster.jobs.get(stop.job());
             Booking booking = job == null ? null : job.bookings.get(stop.task());
             if (booking != null && !booking.stop) {
                 LOG.debug("{} attempt {} makes room on {}", booking.name, booking.attempt, booking.machine.name);
@@ -568,7 +568,7 @@
             }
         }
         for (Decisions.Admission admission : decisions.admissions()) {
-            admit(board.jobs.get(admission.job()), admission.tasks(), nowMicros);
+            admit(cluster.jobs.get(admission.job()), admission.tasks(), nowMicros);
         }
         fleet.need(needs(decisions.waiting()), decisions.held());
     }
@@ -577,9 +577,9 @@
         int attempt = job.lastAttempt + 1;
         List<Booking> booked = new ArrayList<>();
         tasks.forEach((machineName, indexes) -> {
-            Machine machine = board.machines.get(machineName);
+            Machine machine = cluster.machines.get(machineName);
             for (int task : indexes) {
-                booked.add(board.book(job, task, attempt, machine, nowMicros));
+                booked.add(cluster.book(job, task, attempt, machine, nowMicros));
             }
         });
         recorder.admit(job, attempt, booked, onRecord -> {
@@ -595,7 +595,7 @@
                     booking.machine.unsaid = true;
                 });
             } else {
-                booked.forEach(booking -> board.free(booking, clock.nowMicros()));
+                booked.forEach(booking -> cluster.free(booking, clock.nowMicros()));
             }
             soon();
         });
@@ -621,7 +621,7 @@
      * a worker may forget is told with its next report: a request for it alone would cost more than the longer list.
      */
     private void direct() {
-        for (Machine machine : board.machines.values()) {
+        for (Machine machine : cluster.machines.values()) {
             if (directInFlight >= parts.settings().directSockets()) {
                 // The rest of a wave is told in the next cycle, or with the machines' next reports.
                 return;
--- a/src/main/java/org/weldcourse/app/Controller.java
+++ b/src/main/java/org/weldcourse/app/Controller.java
@@ -6,7 +6,7 @@
 import org.slf4j.LoggerFactory;
 import org.weldcourse.admission.Term;
 import org.weldcourse.fleet.Cloud;
-import org.weldcourse.fleet.TypesDuty;
+import org.weldcourse.fleet.MachineTypesTask;
 import org.weldcourse.http.Caller;
 import org.weldcourse.http.Json;
 import org.weldcourse.http.Server;
@@ -17,7 +17,7 @@
 import org.weldcourse.peers.PeerStatus;
 import org.weldcourse.peers.Peers;
 import org.weldcourse.runtime.Clock;
-import org.weldcourse.runtime.Duty;
+import org.weldcourse.runtime.ScheduledTask;
 import org.weldcourse.runtime.Timers;
 import org.weldcourse.settings.Settings;
 import org.weldcourse.settings.Tuning;
@@ -36,14 +36,14 @@
 
     private final Settings settings;
     private final Leadership leadership;
-    private final TypesDuty types;
+    private final MachineTypesTask types;
     private final JobApi jobs;
     private final Term.Parts parts;
     private final Store store;
     private final Clock clock;
     private final Peers peers;
     private final StatusDuty status;
-    private final Strain strain = new Strain();
+    private final ProcessMetrics strain = new ProcessMetrics();
     private final StoreDuty pulse;
     private Term term;
     private boolean saidUnreadable;
@@ -56,7 +56,7 @@
         this.store = new Store(caller, clock, settings.stateAddress());
         Cloud cloud = new Cloud(caller, settings.cloudAddress());
         this.leadership = new Leadership(settings.nodeName(), store, clock, timers, tuning.stateLeaseMicros(), this);
-        this.types = new TypesDuty(store, cloud, clock, timers, leadership::leads);
+        this.types = new MachineTypesTask(store, cloud, clock, timers, leadership::leads);
         this.jobs = new JobApi(store, settings, clock, timers, types::known);
         this.status = new StatusDuty(timers);
         this.pulse = new StoreDuty(timers);
@@ -87,7 +87,7 @@
     }
 
     /** Tells operators every now and then what the machine bears, and how users are served here, when there were any. */
-    private final class StatusDuty extends Duty {
+    private final class StatusDuty extends ScheduledTask {
         StatusDuty(Timers timers) {
             super("status", Controller.this.clock, timers);
         }
@@ -133,7 +133,7 @@
     }
 
     /** Asks the state service a little something every second, so that what is said of it is never old. */
-    private final class StoreDuty extends Duty {
+    private final class StoreDuty extends ScheduledTask {
         StoreDuty(Timers timers) {
             super("store", Controller.this.clock, timers);
         }
--- a/src/main/java/org/weldcourse/app/Node.java
+++ b/src/main/java/org/weldcourse/app/Node.java
@@ -9,12 +9,12 @@
 import java.util.concurrent.TimeUnit;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import org.weldcourse.admission.Drill;
+import org.weldcourse.admission.LeaderWarmUp;
 import org.weldcourse.http.NettyCaller;
 import org.weldcourse.http.Server;
 import org.weldcourse.peers.PeerNet;
 import org.weldcourse.runtime.Clock;
-import org.weldcourse.runtime.Loop;
+import org.weldcourse.runtime.EventLoopTimers;
 import org.weldcourse.settings.Settings;
 import org.weldcourse.settings.Tuning;
 
@@ -35,13 +35,13 @@
     private final Clock clock;
     private final Controller controller;
     private final Server server;
-    private Drill drill;
+    private LeaderWarmUp drill;
 
     /** A node that listens once it is started. */
     public Node(Settings settings, Tuning tuning) {
         this.settings = settings;
         this.eventLoop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
-        Loop loop = new Loop(eventLoop);
+        EventLoopTimers loop = new EventLoopTimers(eventLoop);
         this.clock = loop;
         NettyCaller caller = new NettyCaller(eventLoop, this::idleSockets);
         this.controller = new Controller(settings, tuning, caller, loop, loop);
@@ -82,8 +82,8 @@
 
     /** In the time that is left over, a node that does not lead practises what a leader does. */
     private void drill() {
-        Loop loop = new Loop(eventLoop);
-        drill = new Drill(settings, loop, loop, () -> !controller.leads());
+        EventLoopTimers loop = new EventLoopTimers(eventLoop);
+        drill = new LeaderWarmUp(settings, loop, loop, () -> !controller.leads());
         Server practice =
                 new Server(eventLoop, drill, loop, new Server.Limits(1, 1, Long.MAX_VALUE, Long.MAX_VALUE), () -> {});
         EmbeddedChannel line = new EmbeddedChannel();
--- a/src/main/java/org/weldcourse/app/Strain.java
+++ b/src/main/java/org/weldcourse/app/ProcessMetrics.java
@@ -1,7 +1,7 @@
 package org.weldcourse.app;
 
 /** What a controller's small machine has to bear, for the log: how late its routines come, its processor time, its heap. */
-final class Strain {
+final class ProcessMetrics {
     private static final long MEGABYTE = 1024 * 1024;
 
     private long mostLateMicros;
--- a/src/main/java/org/weldcourse/app/WarmUp.java
+++ b/src/main/java/org/weldcourse/app/WarmUp.java
@@ -13,12 +13,12 @@
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import org.weldcourse.admission.Drill;
+import org.weldcourse.admission.LeaderWarmUp;
 import org.weldcourse.http.Caller.Call;
 import org.weldcourse.http.Json;
 import org.weldcourse.http.NettyCaller;
 import org.weldcourse.http.Server;
-import org.weldcourse.runtime.Loop;
+import org.weldcourse.runtime.EventLoopTimers;
 import org.weldcourse.settings.Settings;
 import org.weldcourse.settings.SettingsFile;
 import org.weldcourse.settings.Tuning;
@@ -89,7 +89,7 @@
 
     private static void serveStandIn(EventLoop loop, int port) throws InterruptedException {
         Server.Limits limits = new Server.Limits(20, 20, 60_000_000, 60_000_000);
-        new Server(loop, WarmUp::standIn, new Loop(loop), limits, () -> {}).listen(HOST + ":" + port);
+        new Server(loop, WarmUp::standIn, new EventLoopTimers(loop), limits, () -> {}).listen(HOST + ":" + port);
     }
 
     private static void exercise(EventLoop loop, int api, Settings settings) throws InterruptedException {
@@ -105,8 +105,8 @@
         CountDownLatch answered = new CountDownLatch(calls.size());
         Runnable callAll = () -> calls.forEach(call -> caller.call(call, answer -> answered.countDown()));
         loop.schedule(callAll, 800, TimeUnit.MILLISECONDS);
-        Loop time = new Loop(loop);
-        Drill drill = new Drill(settings, time, time, () -> true);
+        EventLoopTimers time = new EventLoopTimers(loop);
+        LeaderWarmUp drill = new LeaderWarmUp(settings, time, time, () -> true);
         loop.execute(drill::start);
         answered.await(SECONDS, TimeUnit.SECONDS);
         Thread.sleep(1_500);
--- a/src/main/java/org/weldcourse/fleet/FleetKeeper.java
+++ b/src/main/java/org/weldcourse/fleet/MachinePool.java
@@ -10,21 +10,21 @@
 import java.util.Set;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import org.weldcourse.admission.Board;
 import org.weldcourse.admission.Booking;
+import org.weldcourse.admission.ClusterState;
 import org.weldcourse.admission.Machine;
 import org.weldcourse.fleet.FleetPlanner.Offer;
 import org.weldcourse.jobs.JobSpec;
 import org.weldcourse.runtime.Clock;
-import org.weldcourse.runtime.Duty;
+import org.weldcourse.runtime.ScheduledTask;
 import org.weldcourse.runtime.Timers;
 import org.weldcourse.settings.Settings;
 import org.weldcourse.settings.Tuning;
-import org.weldcourse.store.Pacer;
+import org.weldcourse.store.RateLimiter;
 
 /** Rents for what waits, returns what is idle, silent, faulty or never came up, and adopts what it finds. */
-public final class FleetKeeper extends Duty {
-    private static final Logger LOG = LoggerFactory.getLogger(FleetKeeper.class);
+public final class MachinePool extends ScheduledTask {
+    private static final Logger LOG = LoggerFactory.getLogger(MachinePool.class);
     private static final long STEP_MICROS = 1_000_000;
     private static final long LIST_MICROS = 6_000_000;
     private static final long REFUSED_MICROS = 15_000_000;
@@ -49,14 +49,14 @@
     /** Machines that died with the old leader are never heard of: a new one does not wait for the last of them. */
     private static final double TAKE_OVER_UNHEARD_SHARE = 0.1;
 
-    private final Board board;
+    private final ClusterState cluster;
     private final Cloud cloud;
-    private final TypesDuty types;
+    private final MachineTypesTask types;
     private final Settings settings;
     private final Tuning tuning;
     private final long token;
     private final Office office;
-    private final Pacer calls;
+    private final RateLimiter calls;
     private final long startedMicros;
     private final Map<Offer, Long> refusedUntil = new HashMap<>();
     private final Map<String, JobSpec> startAims = new HashMap<>();
@@ -90,10 +90,10 @@
     }
 
     /** The keeper of the machines for the term with this token. */
-    public FleetKeeper(
-            Board board,
+    public MachinePool(
+            ClusterState cluster,
             Cloud cloud,
-            TypesDuty types,
+            MachineTypesTask types,
             Settings settings,
             Tuning tuning,
             long token,
@@ -101,14 +101,14 @@
             Timers timers,
             Office office) {
         super("fleet", clock, timers);
-        this.board = board;
+        this.cluster = cluster;
         this.cloud = cloud;
         this.types = types;
         this.settings = settings;
         this.tuning = tuning;
         this.token = token;
         this.office = office;
-        this.calls = new Pacer(
+        this.calls = new RateLimiter(
                 clock,
                 settings.cloud().requestsPerSecond() * 0.8,
                 settings.cloud().requestsPerSecond());
@@ -147,7 +147,7 @@
     private void countSoughtLoad() {
         Map<String, Double> taken = new HashMap<>();
         Map<String, Double> all = new HashMap<>();
-        for (Machine machine : board.machines.values()) {
+        for (Machine machine : cluster.machines.values()) {
             if (!machine.isUp() || machine.type == null) {
                 continue;
             }
@@ -216,7 +216,7 @@
             // A deposed leader that is cut off hears no worker: it must not return its successor's machines.
             return STEP_MICROS / 2;
         }
-        for (Machine machine : board.machines.values()) {
+        for (Machine machine : cluster.machines.values()) {
             if (machine.type == null && machine.heardMicros >= 0) {
                 nextListMicros = Math.min(nextListMicros, nowMicros);
             }
@@ -230,7 +230,7 @@
             again.poll().run();
         }
         countSoughtLoad();
-        spending.count(board.machines.values(), nowMicros);
+        spending.count(cluster.machines.values(), nowMicros);
         release(nowMicros);
         rent(nowMicros);
         return STEP_MICROS;
@@ -253,12 +253,12 @@
     }
 
     private void adopt(Cloud.Listed item, long nowMicros) {
-        Machine machine = board.machines.get(item.name());
+        Machine machine = cluster.machines.get(item.name());
         if (machine == null) {
             if (releasedNames.contains(item.name())) {
                 return;
             }
-            machine = board.machine(item.name(), nowMicros - item.ageMicros());
+            machine = cluster.machine(item.name(), nowMicros - item.ageMicros());
         }
         machine.type = types.byName(item.type());
         machine.zone = item.zone();
@@ -274,7 +274,7 @@
         }
         refusedUntil.values().removeIf(until -> until <= nowMicros);
         List<FleetPlanner.Host> hosts = new ArrayList<>();
-        for (Machine machine : board.machines.values()) {
+        for (Machine machine : cluster.machines.values()) {
             boolean booting = !machine.isUp() && !overdue(machine, nowMicros);
             if (machine.type != null && !machine.releasing && (booting || machine.usable())) {
                 hosts.add(host(machine, booting, nowMicros));
@@ -308,7 +308,7 @@
         }
         int heard = 0;
         int unheard = 0;
-        for (Machine machine : board.machines.values()) {
+        for (Machine machine : cluster.machines.values()) {
             heard += machine.isUp() ? 1 : 0;
             unheard += machine.isUp() || isBooting(machine, nowMicros) ? 0 : 1;
         }
@@ -333,7 +333,7 @@
             if (booking.job.spec.service()) {
                 heldCpus += booking.job.spec.cpus();
             } else {
-                busyCpuMicros += board.runTimes.leftMicros(booking, nowMicros) * booking.job.spec.cpus();
+                busyCpuMicros += cluster.runTimes.leftMicros(booking, nowMicros) * booking.job.spec.cpus();
             }
         }
         return new FleetPlanner.Host(
@@ -358,7 +358,7 @@
             switch (rental.outcome()) {
                 case OK -> {
                     for (String name : rental.machines()) {
-                        Machine machine = board.machine(name, nowMicros);
+                        Machine machine = cluster.machine(name, nowMicros);
                         machine.type = types.byName(offer.type());
                         machine.zone = offer.zone();
                         machine.spot = offer.spot();
@@ -399,7 +399,7 @@
     /** Machines, up or on their way, that could take a job of this shape without waiting for its equals. */
     private int openHosts(JobSpec shape, long nowMicros) {
         int open = 0;
-        for (Machine machine : board.machines.values()) {
+        for (Machine machine : cluster.machines.values()) {
             if (canHost(machine, shape, nowMicros)) {
                 open++;
             }
@@ -436,9 +436,9 @@
         silentZones = silentZones(nowMicros);
         Map<String, Integer> spare = new HashMap<>();
         startAims.forEach((name, shape) -> spare.put(name, openHosts(shape, nowMicros) - tuning.warmMachines()));
-        List<Machine> dearestFirst = new ArrayList<>(board.machines.values());
+        List<Machine> dearestFirst = new ArrayList<>(cluster.machines.values());
         dearestFirst.sort(
-                Comparator.comparingDouble(FleetKeeper::pricePerCpu).reversed().thenComparing(machine -> machine.name));
+                Comparator.comparingDouble(MachinePool::pricePerCpu).reversed().thenComparing(machine -> machine.name));
         for (Machine machine : dearestFirst) {
             String why = whyRelease(machine, nowMicros);
             if (why == null && mayGo(machine, spare, nowMicros)) {
@@ -457,7 +457,7 @@
         }
         releaseInFlight = true;
         for (String name : names) {
-            Machine machine = board.machines.get(name);
+            Machine machine = cluster.machines.get(name);
             machine.releasing = true;
             machine.released = true;
         }
@@ -467,10 +467,10 @@
                 return;
             }
             for (String name : names) {
-                Machine machine = board.machines.get(name);
+                Machine machine = cluster.machines.get(name);
                 if (machine != null) {
                     releasedNames.add(name);
-                    board.gone(machine, clock.nowMicros());
+                    cluster.gone(machine, clock.nowMicros());
                 }
             }
             office.machinesGone();
@@ -535,7 +535,7 @@
     /** Zones of whose ordinary machines most are silent: these don't die together. */
     private Set<String> silentZones(long nowMicros) {
         Map<String, Integer> heardLessSilent = new HashMap<>();
-        for (Machine machine : board.machines.values()) {
+        for (Machine machine : cluster.machines.values()) {
             if (machine.isUp() && !machine.spot && !machine.releasing) {
                 boolean silent = nowMicros - machine.heardMicros > ZONE_SILENCE * silenceMicros();
                 heardLessSilent.merge(String.valueOf(machine.zone), silent ? -1 : 1, Integer::sum);
@@ -560,7 +560,7 @@
     private boolean hearsMostInherited() {
         int heard = 0;
         int booked = 0;
-        for (Machine machine : board.machines.values()) {
+        for (Machine machine : cluster.machines.values()) {
             if (!machine.bookings.isEmpty()) {
                 booked++;
                 heard += machine.isUp() ? 1 : 0;
@@ -577,7 +577,7 @@
     private boolean hearsMost(long nowMicros) {
         int up = 0;
         int heard = 0;
-        for (Machine machine : board.machines.values()) {
+        for (Machine machine : cluster.machines.values()) {
             if (machine.isUp() && !machine.releasing) {
                 up++;
                 heard += nowMicros - machine.heardMicros <= silenceMicros() && !machine.isDeaf() ? 1 : 0;
--- a/src/main/java/org/weldcourse/fleet/TypesDuty.java
+++ b/src/main/java/org/weldcourse/fleet/MachineTypesTask.java
@@ -3,16 +3,16 @@
 import java.util.List;
 import java.util.Map;
 import org.weldcourse.runtime.Clock;
-import org.weldcourse.runtime.Duty;
+import org.weldcourse.runtime.ScheduledTask;
 import org.weldcourse.runtime.Timers;
 import org.weldcourse.store.Store;
-import org.weldcourse.store.Txn;
+import org.weldcourse.store.Transaction;
 
 /**
  * Keeps the machine types at hand on every node: from the record in the state service, so that a cloud outage
  * blinds nobody, and from the cloud where there is none yet or this node leads and wants today's prices.
  */
-public final class TypesDuty extends Duty {
+public final class MachineTypesTask extends ScheduledTask {
     private static final String KEY = "types";
     private static final long RETRY_MICROS = 700_000;
     private static final long REFRESH_MICROS = 60_000_000;
@@ -30,7 +30,7 @@
     }
 
     /** A duty that asks the state service first, and the cloud where that does not help. */
-    public TypesDuty(Store store, Cloud cloud, Clock clock, Timers timers, Leads leads) {
+    public MachineTypesTask(Store store, Cloud cloud, Clock clock, Timers timers, Leads leads) {
         super("types", clock, timers);
         this.store = store;
         this.cloud = cloud;
@@ -104,7 +104,7 @@
 
     /** Only nodes without a record and the leader ask the cloud, so this is seldom written. */
     private void remember(Map<String, Object> body) {
-        store.commit(new Txn().put(KEY, body), commit -> {});
+        store.commit(new Transaction().put(KEY, body), commit -> {});
     }
 
     private void next(long delayMicros) {
--- a/src/main/java/org/weldcourse/http/OpenLines.java
+++ b/src/main/java/org/weldcourse/http/ConnectionLimiter.java
@@ -10,7 +10,7 @@
  * silent for so long that nobody should be behind it; else the newcomer. Workers can't take the share that is kept
  * for users and health checks.
  */
-final class OpenLines<T> {
+final class ConnectionLimiter<T> {
     private final int most;
     private final int mostWorkers;
     private final long patienceMicros;
@@ -20,7 +20,7 @@
 
     private final Map<T, Long> others = new LinkedHashMap<>();
 
-    OpenLines(int most, int mostWorkers, long patienceMicros, Consumer<T> close) {
+    ConnectionLimiter(int most, int mostWorkers, long patienceMicros, Consumer<T> close) {
         this.most = most;
         this.mostWorkers = mostWorkers;
         this.patienceMicros = patienceMicros;
--- a/src/main/java/org/weldcourse/http/IdleLines.java
+++ b/src/main/java/org/weldcourse/http/IdleConnectionPool.java
@@ -11,13 +11,13 @@
  * Idle connections by address, and no more than there is room for: sockets are scarce, and there are many workers to whom
  * a message goes now and then. The one that idles longest makes room.
  */
-final class IdleLines<T> {
+final class IdleConnectionPool<T> {
     private final IntSupplier most;
     private final Consumer<T> close;
     private final Map<String, ArrayDeque<T>> byAddress = new HashMap<>();
     private final Map<T, String> oldestFirst = new LinkedHashMap<>();
 
-    IdleLines(IntSupplier most, Consumer<T> close) {
+    IdleConnectionPool(IntSupplier most, Consumer<T> close) {
         this.most = most;
         this.close = close;
     }
--- a/src/main/java/org/weldcourse/http/NettyCaller.java
+++ b/src/main/java/org/weldcourse/http/NettyCaller.java
@@ -30,12 +30,12 @@
     private static final long ONE_MORE_LOOK_MICROS = 1_000;
 
     private final EventLoop loop;
-    private final IdleLines<Line> idle;
+    private final IdleConnectionPool<Line> idle;
 
     /** A caller that leaves so many connections open for its next calls. */
     public NettyCaller(EventLoop loop, IntSupplier mostIdle) {
         this.loop = loop;
-        this.idle = new IdleLines<>(mostIdle, line -> line.context.close());
+        this.idle = new IdleConnectionPool<>(mostIdle, line -> line.context.close());
     }
 
     /** There may be room for fewer idle connections than before. */
--- a/src/main/java/org/weldcourse/http/Server.java
+++ b/src/main/java/org/weldcourse/http/Server.java
@@ -39,7 +39,7 @@
     private final Clock clock;
     private final Limits limits;
     private final Runnable opened;
-    private final OpenLines<Channel> lines;
+    private final ConnectionLimiter<Channel> lines;
 
     /** {@code opened} runs after each new connection. */
     public Server(EventLoop loop, Handler handler, Clock clock, Limits limits, Runnable opened) {
@@ -48,7 +48,7 @@
         this.clock = clock;
         this.limits = limits;
         this.opened = opened;
-        this.lines = new OpenLines<>(limits.connections, limits.workers, limits.patienceMicros, Channel::close);
+        this.lines = new ConnectionLimiter<>(limits.connections, limits.workers, limits.patienceMicros, Channel::close);
     }
 
     /**
--- a/src/main/java/org/weldcourse/jobs/JobApi.java
+++ b/src/main/java/org/weldcourse/jobs/JobApi.java
@@ -15,7 +15,7 @@
 import org.weldcourse.settings.Settings;
 import org.weldcourse.store.Store;
 import org.weldcourse.store.Store.Outcome;
-import org.weldcourse.store.Txn;
+import org.weldcourse.store.Transaction;
 
 /**
  * Submissions, polls and cancellations, on any node. Every answer rests on what the state service holds; only
@@ -102,7 +102,7 @@
     }
 
     private void put(JobSpec spec, long nowWallMicros, int tries, Reply reply) {
-        Txn txn = new Txn()
+        Transaction txn = new Transaction()
                 .guard(Keys.open(spec.id()), 0)
                 .guard(Keys.done(spec.id()), 0)
                 .put(Keys.open(spec.id()), JobCodec.record(spec, nowWallMicros, false));
@@ -169,7 +169,9 @@
                 // Accepted under larger limits: what places its tasks is not needed any more.
                 JobCodec.shorten(record);
             }
-            Txn txn = new Txn().guard(Keys.open(id), read.entry().version()).put(Keys.open(id), record);
+            Transaction txn = new Transaction()
+                    .guard(Keys.open(id), read.entry().version())
+                    .put(Keys.open(id), record);
             store.commit(txn, commit -> {
                 if (commit.outcome() == Outcome.OK) {
                     LOG.info("{}: cancelled by its user", id);
--- a/src/main/java/org/weldcourse/leadership/Leadership.java
+++ b/src/main/java/org/weldcourse/leadership/Leadership.java
@@ -4,17 +4,17 @@
 import org.slf4j.LoggerFactory;
 import org.weldcourse.http.Json;
 import org.weldcourse.runtime.Clock;
-import org.weldcourse.runtime.Duty;
+import org.weldcourse.runtime.ScheduledTask;
 import org.weldcourse.runtime.Timers;
 import org.weldcourse.store.Store;
 import org.weldcourse.store.Store.Outcome;
-import org.weldcourse.store.Txn;
+import org.weldcourse.store.Transaction;
 
 /**
  * Holds, or waits for, the one leading place. The key {@code leader} hangs on a lease of the state service; the
  * key {@code epoch} rises with every election and is the token that workers obey and commits are guarded by.
  */
-public final class Leadership extends Duty {
+public final class Leadership extends ScheduledTask {
     private static final Logger LOG = LoggerFactory.getLogger(Leadership.class);
     /** How far a steady clock may run fast, with room to spare. */
     private static final double DRIFT = 0.001;
@@ -223,7 +223,7 @@
     }
 
     private void claim(long newToken, long lastVersion, long newLease, long sentMicros) {
-        Txn txn = new Txn()
+        Transaction txn = new Transaction()
                 .guard("leader", 0)
                 .guard("epoch", lastVersion)
                 .put("leader", Json.of("name", self, "token", newToken), newLease)
--- a/src/main/java/org/weldcourse/runtime/Loop.java
+++ b/src/main/java/org/weldcourse/runtime/EventLoopTimers.java
@@ -5,11 +5,11 @@
 import java.util.concurrent.TimeUnit;
 
 /** The event loop that owns all mutable state of the process. */
-public final class Loop implements Clock, Timers {
+public final class EventLoopTimers implements Clock, Timers {
     private final EventLoop eventLoop;
 
     /** A clock and timers on this event loop. */
-    public Loop(EventLoop eventLoop) {
+    public EventLoopTimers(EventLoop eventLoop) {
         this.eventLoop = eventLoop;
     }
 
--- a/src/main/java/org/weldcourse/runtime/Duty.java
+++ b/src/main/java/org/weldcourse/runtime/ScheduledTask.java
@@ -7,8 +7,8 @@
  * A long-lived routine on the event loop. It sleeps until its next step is due or until it is woken.
  * An unexpected error is logged and the duty goes on after a pause: one fault must not end a controller.
  */
-public abstract class Duty {
-    private static final Logger LOG = LoggerFactory.getLogger(Duty.class);
+public abstract class ScheduledTask {
+    private static final Logger LOG = LoggerFactory.getLogger(ScheduledTask.class);
     private static final long PAUSE_AFTER_ERROR_MICROS = 500_000;
     private static final long MOST_REST_MICROS = 2_000_000;
 
@@ -21,7 +21,7 @@
     private boolean running;
     protected final Clock clock;
 
-    protected Duty(String name, Clock clock, Timers timers) {
+    protected ScheduledTask(String name, Clock clock, Timers timers) {
         this.name = name;
         this.clock = clock;
         this.timers = timers;
--- a/src/main/java/org/weldcourse/store/Pacer.java
+++ b/src/main/java/org/weldcourse/store/RateLimiter.java
@@ -3,7 +3,7 @@
 import org.weldcourse.runtime.Clock;
 
 /** A bucket of permits that fills at a steady rate; background work takes from it, urgent work need not ask. */
-public final class Pacer {
+public final class RateLimiter {
     private final Clock clock;
     private final double perSecond;
     private final double most;
@@ -11,7 +11,7 @@
     private long filledMicros;
 
     /** A limiter that holds at most so many permits and begins with them. */
-    public Pacer(Clock clock, double perSecond, double most) {
+    public RateLimiter(Clock clock, double perSecond, double most) {
         this.clock = clock;
         this.perSecond = perSecond;
         this.most = Math.max(1, most);
--- a/src/main/java/org/weldcourse/store/SureCommit.java
+++ b/src/main/java/org/weldcourse/store/RetryingCommit.java
@@ -7,12 +7,12 @@
  * Repeats one transaction until the state service gives a definite answer. A commit without an answer may have
  * been carried out or may be so later; a repeat of the very same one settles it, since its conditions hold once.
  */
-public final class SureCommit {
+public final class RetryingCommit {
     private static final long RETRY_MICROS = 250_000;
 
     private final Store store;
     private final Timers timers;
-    private final Txn txn;
+    private final Transaction txn;
     private final Alive alive;
     private final Done done;
     private boolean unclear;
@@ -29,7 +29,7 @@
         void accept(Store.Commit commit, boolean unclear);
     }
 
-    private SureCommit(Store store, Timers timers, Txn txn, Alive alive, Done done) {
+    private RetryingCommit(Store store, Timers timers, Transaction txn, Alive alive, Done done) {
         this.store = store;
         this.timers = timers;
         this.txn = txn;
@@ -38,8 +38,8 @@
     }
 
     /** Sends a transaction until its answer is definite. */
-    public static void send(Store store, Timers timers, Txn txn, Alive alive, Done done) {
-        new SureCommit(store, timers, txn, alive, done).attempt();
+    public static void send(Store store, Timers timers, Transaction txn, Alive alive, Done done) {
+        new RetryingCommit(store, timers, txn, alive, done).attempt();
     }
 
     private void attempt() {
--- a/src/main/java/org/weldcourse/store/Store.java
+++ b/src/main/java/org/weldcourse/store/Store.java
@@ -118,7 +118,7 @@
     }
 
     /** Sends a transaction once. */
-    public void commit(Txn txn, Consumer<Commit> then) {
+    public void commit(Transaction txn, Consumer<Commit> then) {
         send(
                 "POST",
                 "/commit",
--- a/src/main/java/org/weldcourse/workers/Reconciler.java
+++ b/src/main/java/org/weldcourse/workers/Reconciler.java
@@ -6,8 +6,8 @@
 import java.util.Set;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import org.weldcourse.admission.Board;
 import org.weldcourse.admission.Booking;
+import org.weldcourse.admission.ClusterState;
 import org.weldcourse.admission.Job;
 import org.weldcourse.admission.Machine;
 import org.weldcourse.fleet.MachineType;
@@ -24,13 +24,13 @@
     /** So many orders stay well below the 64 KiB that a message may have; the rest goes with the next one. */
     public static final int MOST_ORDERS = 500;
 
-    private final Board board;
+    private final ClusterState cluster;
     private final long token;
     private final long leaseMicros;
 
     /** A reconciler for the leader with this token. */
-    public Reconciler(Board board, long token, long leaseMicros) {
-        this.board = board;
+    public Reconciler(ClusterState cluster, long token, long leaseMicros) {
+        this.cluster = cluster;
         this.token = token;
         this.leaseMicros = leaseMicros;
     }
@@ -74,7 +74,7 @@
         if (newSession) {
             LOG.debug("{} session {}", machine.name, machine.session);
         }
-        board.seen(machine, report.tasks());
+        cluster.seen(machine, report.tasks());
         changed |= learn(machine, report, nowMicros);
         long lostMicros = machine.answersLostMicros();
         if (lostMicros >= 0 && nowMicros - lostMicros > leaseMicros * 3 / 2) {
@@ -92,7 +92,7 @@
     public List<Order> haltsOfCancelled(Report report) {
         List<Order> orders = new ArrayList<>();
         for (Report.Task task : report.tasks()) {
-            Job job = board.jobs.get(task.name().job());
+            Job job = cluster.jobs.get(task.name().job());
             if (job != null && job.cancelled && task.state() != Report.State.EXITED && orders.size() < MOST_ORDERS) {
                 orders.add(Order.halt(task.name(), task.attempt(), 0));
             }
@@ -127,7 +127,7 @@
                 if (booked) {
                     arrived |= booking.runSent;
                     listed.add(task.name());
-                    board.exited(booking, task.cause(), nowMicros);
+                    cluster.exited(booking, task.cause(), nowMicros);
                     changed = true;
                 }
             } else if (booked) {
@@ -156,7 +156,7 @@
             // or the answer that said so was lost, and it may be run again or, when unwanted or when the machine
             // hears nothing, given up: this report is newer than any answer that told it to run.
             if (booking.seen || booking.persisted && (booking.stop || machine.isDeaf())) {
-                board.free(booking, nowMicros);
+                cluster.free(booking, nowMicros);
                 changed = true;
             }
         }
@@ -236,7 +236,7 @@
             boolean fits = cpus + spec.cpus() <= type.cpus() + slack
                     && gpus + spec.gpus() <= type.gpus() + slack
                     && memoryGb + spec.memoryGb() <= type.memoryGb() + slack;
-            Machine elsewhere = board.whereabouts(booking.name);
+            Machine elsewhere = cluster.whereabouts(booking.name);
             if (!fits
                     || orders.size() >= MOST_ORDERS
                     || elsewhere != null && elsewhere != machine
@@ -300,7 +300,7 @@
     private List<Order> forgettable(Machine machine) {
         List<Order> orders = new ArrayList<>();
         for (Report.Task task : machine.exited) {
-            Job job = board.jobs.get(task.name().job());
+            Job job = cluster.jobs.get(task.name().job());
             if (job == null || job.mayForget(task.name().index(), task.attempt())) {
                 orders.add(Order.forget(task.name(), task.attempt()));
             }
--- a/src/test/java/org/weldcourse/admission/DrillTest.java
+++ b/src/test/java/org/weldcourse/admission/LeaderWarmUpTest.java
@@ -7,18 +7,18 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.weldcourse.rehearsal.FakeTime;
-import org.weldcourse.rehearsal.World;
+import org.weldcourse.simulation.FakeTime;
+import org.weldcourse.simulation.SimulatedCluster;
 
 /** Practice of a node that does not lead: it has to do what a leader does, only when there is time, and come to an end. */
-class DrillTest {
+class LeaderWarmUpTest {
     private final FakeTime time = new FakeTime();
     private boolean spare = true;
-    private Drill drill;
+    private LeaderWarmUp drill;
 
     @BeforeEach
     void start() {
-        drill = new Drill(new World(1).settings("n0"), time, time, () -> spare);
+        drill = new LeaderWarmUp(new SimulatedCluster(1).settings("n0"), time, time, () -> spare);
         drill.start();
     }
 
@@ -26,21 +26,21 @@
     void jobsAreAdmittedReportedAndDoneWithinARound() {
         // One step each 20 ms; a round is set-up, three passes of sixteen reports and a cycle, and reading back.
         time.pass(20_000 * 51);
-        assertTrue(drill.board.jobs.values().stream().anyMatch(job -> job.spec.gang() && job.allDone()));
-        assertTrue(drill.board.jobs.values().stream().anyMatch(job -> !job.spec.gang() && !job.done.isEmpty()));
-        assertFalse(drill.board.machines.values().stream().anyMatch(machine -> !machine.underToken));
+        assertTrue(drill.cluster.jobs.values().stream().anyMatch(job -> job.spec.gang() && job.allDone()));
+        assertTrue(drill.cluster.jobs.values().stream().anyMatch(job -> !job.spec.gang() && !job.done.isEmpty()));
+        assertFalse(drill.cluster.machines.values().stream().anyMatch(machine -> !machine.underToken));
     }
 
     @Test
     void itWaitsWhileThereIsNoTimeForItAndEnds() {
         spare = false;
         time.passSeconds(60);
-        assertEquals(null, drill.board);
+        assertEquals(null, drill.cluster);
         spare = true;
         time.passSeconds(60);
-        Board last = drill.board;
+        ClusterState last = drill.cluster;
         time.passSeconds(600);
-        assertEquals(last, drill.board);
+        assertEquals(last, drill.cluster);
         assertFalse(drill.isPending());
     }
 
--- a/src/test/java/org/weldcourse/admission/PlannerTest.java
+++ b/src/test/java/org/weldcourse/admission/PlannerTest.java
@@ -18,8 +18,8 @@
 import org.weldcourse.http.Json;
 import org.weldcourse.jobs.JobCodec;
 import org.weldcourse.jobs.JobSpec;
-import org.weldcourse.rehearsal.World;
 import org.weldcourse.settings.Settings;
+import org.weldcourse.simulation.SimulatedCluster;
 
 /** Whom a cycle admits, in which order, and where. */
 class PlannerTest {
@@ -30,7 +30,7 @@
     private static final Planner.Bounds PLENTY = new Planner.Bounds(1_000, 100, 3 * SECOND);
 
     private static JobSpec spec(String id, Object... changes) throws Exception {
-        return JobCodec.spec(Json.objectOrEmpty(Json.bytes(World.jobBody(id, changes))));
+        return JobCodec.spec(Json.objectOrEmpty(Json.bytes(SimulatedCluster.jobBody(id, changes))));
     }
 
     private static JobView gang(int number, int tasks, long waitedSeconds) throws Exception {
--- a/src/test/java/org/weldcourse/app/CostTest.java
+++ b/src/test/java/org/weldcourse/app/CostTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 import org.weldcourse.http.Server;
-import org.weldcourse.rehearsal.World;
+import org.weldcourse.simulation.SimulatedCluster;
 
 /** What nothing new costs, in counts: the state service and the cloud are asked no more for more machines or users. */
 class CostTest {
@@ -15,7 +15,7 @@
 
     /** What all three nodes ask of the state service in some idle seconds, with so many machines that report all the while. */
     private static Cost idle(int machines) {
-        World world = new World(3);
+        SimulatedCluster world = new SimulatedCluster(3);
         world.time.passSeconds(2);
         for (int i = 0; i < machines; i++) {
             world.cloud.unexpected("large", "a", false);
@@ -42,9 +42,9 @@
 
     @Test
     void aHundredQuestionsAreOneReadOfTheChanges() {
-        World world = new World(1);
+        SimulatedCluster world = new SimulatedCluster(1);
         world.time.passSeconds(2);
-        world.submit("n0", World.jobBody("req-000001", "cpus", 8.0));
+        world.submit("n0", SimulatedCluster.jobBody("req-000001", "cpus", 8.0));
         assertEquals(200, world.poll("n0", "req-000001").status());
         world.time.passSeconds(2);
         int before = world.state.requests();
--- a/src/test/java/org/weldcourse/app/MeetingsTest.java
+++ b/src/test/java/org/weldcourse/app/FailureCombinationsTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static org.weldcourse.rehearsal.World.jobBody;
+import static org.weldcourse.simulation.SimulatedCluster.jobBody;
 
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -22,13 +22,13 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.weldcourse.http.Caller;
 import org.weldcourse.http.Json;
-import org.weldcourse.rehearsal.FakeNet;
-import org.weldcourse.rehearsal.FakeWorker;
-import org.weldcourse.rehearsal.World;
+import org.weldcourse.simulation.FakeNet;
+import org.weldcourse.simulation.FakeWorker;
+import org.weldcourse.simulation.SimulatedCluster;
 
 /** Troubles that meet. The world fails a test in which a rule breaks; each test makes sure that its trouble came about. */
-class MeetingsTest {
-    /** Whether jobs of a script that name no shape are submitted as services instead of arrays: see ServiceMeetingsTest. */
+class FailureCombinationsTest {
+    /** Whether jobs of a script that name no shape are submitted as services instead of arrays: see ServiceFailureCombinationsTest. */
     protected boolean arraysAreServices() {
         return false;
     }
@@ -36,12 +36,12 @@
     /** A day of work: what was submitted, what was cancelled, and that all of it comes to its end. */
     private final class Day {
         final Set<String> services = new HashSet<>();
-        final World world;
+        final SimulatedCluster world;
         final Map<String, Map<String, Object>> bodies = new LinkedHashMap<>();
         final Set<String> cancelled = new HashSet<>();
 
         Day(int nodes) {
-            world = new World(nodes);
+            world = new SimulatedCluster(nodes);
             world.time.passSeconds(2);
         }
 
@@ -111,7 +111,7 @@
 
         String cancel(String id) {
             for (int i = 0; i < 120; i++) {
-                World.Answer answer = world.withdraw(node(i), id);
+                SimulatedCluster.Answer answer = world.withdraw(node(i), id);
                 if (answer.status() == 200) {
                     cancelled.add(id);
                     return answer.state();
@@ -197,7 +197,7 @@
     private static final double FOREVER = -2;
 
     /** Holds up such calls, which get no answer in time, and counts them. */
-    private static int[] hold(World world, long micros, BiPredicate<String, Caller.Call> which) {
+    private static int[] hold(SimulatedCluster world, long micros, BiPredicate<String, Caller.Call> which) {
         int[] held = new int[1];
         world.net.fates((from, call) -> {
             boolean holds = which.test(from, call);
@@ -215,7 +215,7 @@
         Day day = new Day(3);
         String id = day.running(FOREVER);
         String other = day.running(FOREVER, "beads", 2);
-        World world = day.world;
+        SimulatedCluster world = day.world;
         String old = world.leader();
         world.refuseState(old, true);
         long sinceMicros = world.time.nowMicros();
@@ -245,7 +245,7 @@
     void leaderWhoseReadsHangWhileItsLeaseIsRenewed() {
         Day day = new Day(3);
         String id = day.running(FOREVER);
-        World world = day.world;
+        SimulatedCluster world = day.world;
         String leader = world.leader();
         int[] hung = hold(
                 world,
@@ -268,7 +268,7 @@
     void successorThatCanNotReadKeepsNothingAlive() {
         Day day = new Day(3);
         String id = day.running(FOREVER);
-        World world = day.world;
+        SimulatedCluster world = day.world;
         String old = world.leader();
         world.refuseState(old, true);
         world.time.pass(500_000);
@@ -294,7 +294,7 @@
         Day day = new Day(2);
         String id = day.running(FOREVER);
         String stays = day.running(60);
-        World world = day.world;
+        SimulatedCluster world = day.world;
         world.time.passSeconds(2);
         day.killLeader();
         assertEquals("cancelled", day.cancel(id));
@@ -315,7 +315,7 @@
         Day day = new Day(3);
         String id = day.running(FOREVER);
         String stays = day.running(70);
-        World world = day.world;
+        SimulatedCluster world = day.world;
         String old = world.leader();
         world.cutFromState(old);
         world.cutFromPeers(old);
@@ -342,7 +342,7 @@
     void leaderEndsWhileMachinesWithLongTasksCanNotBeAsked(String trouble) {
         Day day = new Day(3);
         String id = day.running(45);
-        World world = day.world;
+        SimulatedCluster world = day.world;
         Set<String> machines = day.machinesOf(id);
         machines.forEach(machine -> trouble(world, machine, trouble));
         day.killLeader();
@@ -358,7 +358,7 @@
         assertTrue(world.starts.values().stream().allMatch(count -> count <= 2), world.starts.toString());
     }
 
-    private static void trouble(World world, String machine, String kind) {
+    private static void trouble(SimulatedCluster world, String machine, String kind) {
         switch (kind) {
             case "mute" -> world.mute(machine);
             case "deaf" -> world.deafen(machine);
@@ -374,7 +374,7 @@
     void directCommandsHaltWhatReachesNoController() {
         Day day = new Day(2);
         String id = day.running(FOREVER);
-        World world = day.world;
+        SimulatedCluster world = day.world;
         day.machinesOf(id).forEach(world::mute);
         world.time.pass(200_000);
         assertEquals("cancelled", day.cancel(id));
@@ -388,7 +388,7 @@
         Day day = new Day(1);
         String cancelled = day.running(FOREVER, "beads", 1);
         String finishes = day.running(40, "shape", "array", "beads", 1);
-        World world = day.world;
+        SimulatedCluster world = day.world;
         world.cloud.down(true);
         String machine = day.machinesOf(cancelled).iterator().next();
         FakeWorker worker = world.workers.get(machine);
@@ -414,7 +414,7 @@
     @ValueSource(strings = {"cut", "mute", "deaf", "hung"})
     void noQuotaIsHandedOutTwiceWhileCancelledTasksMayBeThere(String trouble) {
         Day day = new Day(3);
-        World world = day.world;
+        SimulatedCluster world = day.world;
         world.cloud.unexpected("large", "a", false);
         world.cloud.unexpected("large", "b", false);
         if (arraysAreServices()) {
@@ -460,7 +460,7 @@
     @Test
     void arraysInOneZoneStayInItWhenTheyLoseMachines() {
         Day day = new Day(1);
-        World world = day.world;
+        SimulatedCluster world = day.world;
         day.oneLargeMachine();
         String id = day.submit(40, "beads", 14, "cpus", 2.0, "together", true, "rigs", List.of("large"));
         day.submit(40, "beads", 2, "cpus", 2.0, "yard", "a");
@@ -487,7 +487,7 @@
     @ValueSource(longs = {300_000, 2_500_000, 9_000_000})
     void commandsHeldUpForSecondsChangeNothingThatIsSettled(long heldMicros) {
         Day day = new Day(2);
-        World world = day.world;
+        SimulatedCluster world = day.world;
         int[] held = hold(world, heldMicros, (from, call) -> call.path().equals("/orders"));
         world.cloud.unexpected("large", "a", false);
         world.cloud.capacity = 1;
@@ -509,7 +509,7 @@
     @ValueSource(booleans = {false, true})
     void oldReportsReachEveryControllerAroundANewLeader(boolean sessionsEnd) {
         Day day = new Day(3);
-        World world = day.world;
+        SimulatedCluster world = day.world;
         String ends = day.submit(4, "shape", "array");
         assertTrue(world.reaches("n0", ends, "done", 60));
         String runs = day.running(40);
@@ -550,7 +550,7 @@
     @Test
     void copiesOfReportsUnderTheSameLeaderTeachNothing() {
         Day day = new Day(1);
-        World world = day.world;
+        SimulatedCluster world = day.world;
         day.oneLargeMachine();
         String first = day.running(3, "beads", 1);
         world.time.passSeconds(4);
@@ -573,7 +573,7 @@
     @ValueSource(doubles = {0.1, 0.7, 1.5, 3, 7, 9, 12})
     void tasksThatEndFarApartAcrossAChangeOfLeader(double endsAfter) {
         Day day = new Day(2);
-        World world = day.world;
+        SimulatedCluster world = day.world;
         // One finished task stays listed as a bell: it takes two for one to be forgotten too soon.
         String id = day.submit(25, "beads", 4);
         world.runMicros.put(id + "/0", 2_000_000L);
@@ -593,7 +593,7 @@
     @Test
     void machinesUpAtOnceGetWorkWhileWritesLagAndTheLeaderEnds() {
         Day day = new Day(3);
-        World world = day.world;
+        SimulatedCluster world = day.world;
         world.cloud.bootMicros = 1_200_000;
         for (int round = 0; round < 4; round++) {
             int[] late = new int[1];
@@ -620,7 +620,7 @@
     void jobsAreCancelledInTheSecondsInWhichWorkChangesHands() {
         for (int tenths = 0; tenths <= 60; tenths += 5) {
             Day day = new Day(3);
-            World world = day.world;
+            SimulatedCluster world = day.world;
             String runs = day.running(FOREVER);
             String starts = day.submit(FOREVER, "beads", 2);
             String waits = day.submit(FOREVER, "yard", "b", "rigs", List.of("large"));
@@ -640,7 +640,7 @@
     @Test
     void tenLeadersInTwoMinutesWithAnOutageAmongThem() {
         Day day = new Day(3);
-        World world = day.world;
+        SimulatedCluster world = day.world;
         bustle(day);
         for (int round = 0; round < 10; round++) {
             if (round == 4) {
@@ -679,7 +679,7 @@
     @Test
     void allControllersAreAwayForLongerThanALease() {
         Day day = new Day(3);
-        World world = day.world;
+        SimulatedCluster world = day.world;
         bustle(day);
         world.time.passSeconds(8);
         int running = world.runningTasks();
@@ -694,7 +694,7 @@
     @Test
     void zoneWithWorkersAndTheLeaderIsCutOffForLongerThanALease() {
         Day day = new Day(3);
-        World world = day.world;
+        SimulatedCluster world = day.world;
         bustle(day);
         String cancelled = day.running(FOREVER);
         world.time.passSeconds(5);
@@ -746,7 +746,7 @@
     @CsvSource({"false, 1", "false, 2", "false, 3", "true, 1", "true, 2", "true, 3"})
     void writesWithoutAnAnswer(boolean atOnce, int seed) {
         Day day = new Day(3);
-        World world = day.world;
+        SimulatedCluster world = day.world;
         Random random = new Random(seed);
         int[] lost = new int[1];
         world.net.fates((from, call) -> {
@@ -782,7 +782,7 @@
     @Test
     void lateAdmissionOfAnEndedLeaderIsRefused() {
         Day day = new Day(2);
-        World world = day.world;
+        SimulatedCluster world = day.world;
         day.oneLargeMachine();
         int[] late = new int[1];
         world.net.fates((from, call) -> isAdmission(call) && late[0]++ == 0 ? 9_000_000 : FakeNet.NORMAL);
@@ -801,7 +801,7 @@
     @Test
     void lateWriteDoesNotPutBackWhatANewerOneReplaced() {
         Day day = new Day(2);
-        World world = day.world;
+        SimulatedCluster world = day.world;
         day.oneLargeMachine();
         int[] late = new int[1];
         world.net.fates((from, call) -> isAdmission(call) && late[0]++ == 0 ? 12_000_000 : FakeNet.NORMAL);
@@ -833,7 +833,7 @@
     @ValueSource(doubles = {1.6, 2.5, 6})
     void leaderThatIsRefusedStartsNothing(double healsAfter) {
         Day day = new Day(3);
-        World world = day.world;
+        SimulatedCluster world = day.world;
         day.oneLargeMachine();
         String machine = world.workers.keySet().iterator().next();
         // What is admitted on it waits for its next report.
@@ -866,7 +866,7 @@
         // The first day tells when the job is closed; on the others, all alike, its user cancels around that moment.
         for (long offsetMicros = -6_500; offsetMicros <= 5_000; offsetMicros += 500) {
             Day day = new Day(2);
-            World world = day.world;
+            SimulatedCluster world = day.world;
             String id = day.running(8, "beads", 1);
             if (closedMicros[0] == 0) {
                 world.net.fates((from, call) -> {
@@ -879,7 +879,7 @@
             }
             world.time.pass(closedMicros[0] + offsetMicros - world.time.nowMicros());
             world.alive().forEach(node -> world.pollSoon(node, id));
-            World.Answer answer = world.withdraw("n1", id);
+            SimulatedCluster.Answer answer = world.withdraw("n1", id);
             assertEquals(200, answer.status(), "at once, " + offsetMicros + " from the end: " + answer);
             states.add(answer.state());
             if ("cancelled".equals(answer.state())) {
@@ -892,7 +892,7 @@
         assertEquals(Set.of("done", "cancelled"), states);
     }
 
-    private static int askAllWithinMilliseconds(World world, String id) {
+    private static int askAllWithinMilliseconds(SimulatedCluster world, String id) {
         int asked = 0;
         for (int step = 0; step < 10; step++) {
             for (String node : world.alive()) {
@@ -907,7 +907,7 @@
     @Test
     void everyNodeIsAskedWithinMillisecondsOfWhatItWasTold() {
         Day day = new Day(3);
-        World world = day.world;
+        SimulatedCluster world = day.world;
         int asked = 0;
         for (int i = 0; i < 8; i++) {
             String id = day.submit(3, "beads", 1);
@@ -931,7 +931,7 @@
     @Test
     void oneTaskJobsFourASecondAQuarterOfThemCancelled() {
         Day day = new Day(3);
-        World world = day.world;
+        SimulatedCluster world = day.world;
         int before = world.state.writes();
         int requests = world.state.requests();
         String refused = null;
@@ -967,7 +967,7 @@
     @Test
     void moreWorkThanRoomUrgentAndNotOverSlowLinks() {
         Day day = new Day(3);
-        World world = day.world;
+        SimulatedCluster world = day.world;
         world.cloud.capacity = 2;
         world.slowState(350_000);
         for (int i = 0; i < 6; i++) {
--- a/src/test/java/org/weldcourse/app/FleetTest.java
+++ b/src/test/java/org/weldcourse/app/MachinePoolTest.java
@@ -2,17 +2,17 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static org.weldcourse.rehearsal.World.jobBody;
+import static org.weldcourse.simulation.SimulatedCluster.jobBody;
 
 import org.junit.jupiter.api.Test;
-import org.weldcourse.rehearsal.World;
+import org.weldcourse.simulation.SimulatedCluster;
 
 /** What a leader rents and returns, on whole controllers. */
-class FleetTest {
+class MachinePoolTest {
     /** Until the workers have reported to it, a new leader sees machines of unknown size that it can't count on. */
     @Test
     void newLeaderDoesNotRentAgainForWorkThatRuns() {
-        World world = new World(3);
+        SimulatedCluster world = new SimulatedCluster(3);
         world.time.passSeconds(2);
         for (int job = 0; job < 8; job++) {
             String id = String.format("req-%06d", job + 1);
--- a/src/test/java/org/weldcourse/app/StrainTest.java
+++ b/src/test/java/org/weldcourse/app/ProcessMetricsTest.java
@@ -5,10 +5,10 @@
 import org.junit.jupiter.api.Test;
 
 /** Readings of the process's own use. */
-class StrainTest {
+class ProcessMetricsTest {
     @Test
     void tellsTheWorstSinceItWasLastAsked() {
-        Strain strain = new Strain();
+        ProcessMetrics strain = new ProcessMetrics();
         strain.late(20_000);
         strain.late(350_000);
         strain.late(1_000);
--- a/src/test/java/org/weldcourse/app/ServiceTest.java
+++ b/src/test/java/org/weldcourse/app/ServiceTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static org.weldcourse.rehearsal.World.jobBody;
+import static org.weldcourse.simulation.SimulatedCluster.jobBody;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -14,26 +14,26 @@
 import org.junit.jupiter.api.Test;
 import org.weldcourse.http.Json;
 import org.weldcourse.http.Server;
-import org.weldcourse.rehearsal.FakeWorker;
-import org.weldcourse.rehearsal.World;
 import org.weldcourse.settings.Settings;
+import org.weldcourse.simulation.FakeWorker;
+import org.weldcourse.simulation.SimulatedCluster;
 
 /** Whole controllers against scripted services. The world fails a test in which a rule of the protocol breaks. */
 class ServiceTest {
-    private static World settled(int nodes) {
-        World world = new World(nodes);
+    private static SimulatedCluster settled(int nodes) {
+        SimulatedCluster world = new SimulatedCluster(nodes);
         world.time.passSeconds(2);
         return world;
     }
 
     @Test
     void arrayRunsEveryTaskOnceAndStaysDone() {
-        World world = settled(3);
+        SimulatedCluster world = settled(3);
         assertEquals(201, world.submit("n0", jobBody("req-000001")).status());
         assertTrue(world.reaches("n1", "req-000001", "done", 60));
         assertEquals(4, world.starts.size());
         assertTrue(world.starts.values().stream().allMatch(count -> count == 1));
-        World.Answer again = world.submit("n2", jobBody("req-000001"));
+        SimulatedCluster.Answer again = world.submit("n2", jobBody("req-000001"));
         assertEquals(200, again.status());
         assertEquals("done", again.state());
         assertEquals(List.of(), world.state.keys("open/"));
@@ -42,7 +42,7 @@
 
     @Test
     void gangStartsTogetherInOneZone() {
-        World world = settled(1);
+        SimulatedCluster world = settled(1);
         world.submit("n0", jobBody("req-000002", "shape", "ensemble", "beads", 6, "cpus", 4.0, "together", true));
         assertTrue(world.reaches("n0", "req-000002", "done", 90));
         assertEquals(6, world.starts.size());
@@ -50,7 +50,7 @@
 
     @Test
     void spreadJobKeepsToHalfItsTasksInAZone() {
-        World world = settled(1);
+        SimulatedCluster world = settled(1);
         world.submit("n0", jobBody("req-000003", "shape", "ensemble", "beads", 5, "cpus", 4.0, "apart", true));
         world.cloud.unexpected("large", "a", false);
         world.cloud.unexpected("large", "b", false);
@@ -59,7 +59,7 @@
 
     @Test
     void teamLimitHoldsWhileRoomIsPlenty() {
-        World world = settled(1);
+        SimulatedCluster world = settled(1);
         world.cloud.unexpected("large", "a", false);
         world.cloud.unexpected("large", "b", false);
         world.submit("n0", jobBody("req-000004", "crew", "capped", "beads", 12));
@@ -69,7 +69,7 @@
 
     @Test
     void ordinaryMachinesOnlyForJobsThatRefuseSpot() {
-        World world = settled(1);
+        SimulatedCluster world = settled(1);
         world.cloud.unexpected("large", "a", true);
         world.submit("n0", jobBody("req-000005", "loaners", false, "yard", "b", "rigs", List.of("small")));
         assertTrue(world.reaches("n0", "req-000005", "done", 120));
@@ -77,7 +77,7 @@
 
     @Test
     void refusesWhatCanNeverRunAndWhatIsMalformed() {
-        World world = settled(1);
+        SimulatedCluster world = settled(1);
         assertEquals(
                 422, world.submit("n0", jobBody("req-000006", "crew", "nobody")).status());
         assertEquals(
@@ -96,10 +96,10 @@
 
     @Test
     void refusesAtOnceWhileTheStateServiceIsDown() {
-        World world = settled(1);
+        SimulatedCluster world = settled(1);
         world.state.down(true);
         long beforeMicros = world.time.nowMicros();
-        World.Answer answer = world.submit("n0", jobBody("req-000010"));
+        SimulatedCluster.Answer answer = world.submit("n0", jobBody("req-000010"));
         assertEquals(503, answer.status());
         assertTrue(answer.retryAfterSeconds() > 0);
         assertTrue(world.time.nowMicros() - beforeMicros < 100_000);
@@ -107,10 +107,10 @@
 
     @Test
     void lostCommitAnswerIsReadAgainNotGuessed() {
-        World world = settled(1);
+        SimulatedCluster world = settled(1);
         world.loseAnswers("n0", true);
         Map<String, Object> job = jobBody("req-000011");
-        World.Answer lost = world.submit("n0", job);
+        SimulatedCluster.Answer lost = world.submit("n0", job);
         assertNotEquals(404, lost.status());
         world.loseAnswers("n0", false);
         world.time.passSeconds(10);
@@ -122,7 +122,7 @@
 
     @Test
     void cancelledJobLeavesEveryMachineAndStaysCancelled() {
-        World world = settled(3);
+        SimulatedCluster world = settled(3);
         world.runMicros.put("req-000012", Long.MAX_VALUE);
         world.submit("n0", jobBody("req-000012"));
         assertTrue(world.reaches("n0", "req-000012", "running", 60));
@@ -137,7 +137,7 @@
 
     @Test
     void cancelAfterTheEndSaysDone() {
-        World world = settled(1);
+        SimulatedCluster world = settled(1);
         world.submit("n0", jobBody("req-000013"));
         assertTrue(world.reaches("n0", "req-000013", "done", 60));
         assertEquals("done", world.withdraw("n0", "req-000013").state());
@@ -146,7 +146,7 @@
 
     @Test
     void successorTakesOverRunningWorkWithoutStartingItAgain() {
-        World world = settled(3);
+        SimulatedCluster world = settled(3);
         world.runMicros.put("req-000014", 40_000_000L);
         world.submit("n0", jobBody("req-000014"));
         assertTrue(world.reaches("n0", "req-000014", "running", 60));
@@ -163,7 +163,7 @@
 
     @Test
     void allControllersRestartAndNothingIsForgotten() {
-        World world = settled(3);
+        SimulatedCluster world = settled(3);
         world.runMicros.put("req-000015", 30_000_000L);
         world.submit("n0", jobBody("req-000015"));
         world.time.passSeconds(12);
@@ -181,7 +181,7 @@
 
     @Test
     void restartedLeaderNeedNotWaitForItsOwnOldLease() {
-        World world = settled(1);
+        SimulatedCluster world = settled(1);
         world.killNode("n0");
         world.startNode("n0");
         world.time.passSeconds(1);
@@ -190,7 +190,7 @@
 
     @Test
     void leaderCutFromTheStateServiceYieldsAndItsWorkersFollow() {
-        World world = settled(3);
+        SimulatedCluster world = settled(3);
         world.runMicros.put("req-000016", 60_000_000L);
         world.submit("n0", jobBody("req-000016"));
         assertTrue(world.reaches("n0", "req-000016", "running", 60));
@@ -218,7 +218,7 @@
 
     @Test
     void workOutlivesAnOutageOfTheStateService() {
-        World world = settled(3);
+        SimulatedCluster world = settled(3);
         world.runMicros.put("req-000017", 35_000_000L);
         world.submit("n0", jobBody("req-000017"));
         assertTrue(world.reaches("n0", "req-000017", "running", 60));
@@ -233,7 +233,7 @@
 
     @Test
     void silentMachineIsReturnedBeforeItsTasksRunElsewhere() {
-        World world = settled(1);
+        SimulatedCluster world = settled(1);
         world.runMicros.put("req-000018", 30_000_000L);
         world.submit("n0", jobBody("req-000018", "beads", 2));
         assertTrue(world.reaches("n0", "req-000018", "running", 60));
@@ -247,7 +247,7 @@
 
     @Test
     void silentMachineKeepsItsTasksWhileTheCloudCannotConfirm() {
-        World world = settled(1);
+        SimulatedCluster world = settled(1);
         world.runMicros.put("req-000019", 30_000_000L);
         world.submit("n0", jobBody("req-000019", "beads", 1));
         assertTrue(world.reaches("n0", "req-000019", "running", 60));
@@ -262,7 +262,7 @@
 
     @Test
     void deposedLeaderThatHearsNobodyReturnsNoMachines() {
-        World world = settled(3);
+        SimulatedCluster world = settled(3);
         world.runMicros.put("req-000020", 70_000_000L);
         world.submit("n0", jobBody("req-000020"));
         assertTrue(world.reaches("n0", "req-000020", "running", 60));
@@ -279,7 +279,7 @@
 
     @Test
     void newSessionMeansTheTasksAreGoneAndRunAgain() {
-        World world = settled(1);
+        SimulatedCluster world = settled(1);
         world.runMicros.put("req-000021", 20_000_000L);
         world.submit("n0", jobBody("req-000021", "beads", 1));
         assertTrue(world.reaches("n0", "req-000021", "running", 60));
@@ -294,7 +294,7 @@
 
     @Test
     void unexpectedMachineIsUsedOrReturned() {
-        World world = settled(1);
+        SimulatedCluster world = settled(1);
         String found = world.cloud.unexpected("small", "a", false);
         world.time.passSeconds(90);
         assertTrue(world.cloud.released.contains(found));
@@ -302,7 +302,7 @@
 
     @Test
     void machineThatNeverComesUpIsReturned() {
-        World world = new World(1);
+        SimulatedCluster world = new SimulatedCluster(1);
         world.time.passSeconds(2);
         world.submit("n0", jobBody("req-000022"));
         world.time.passSeconds(3);
@@ -318,7 +318,7 @@
 
     @Test
     void noticeEmptiesTheMachineBeforeItGoes() {
-        World world = settled(1);
+        SimulatedCluster world = settled(1);
         world.runMicros.put("req-000023", 20_000_000L);
         world.submit("n0", jobBody("req-000023", "beads", 1, "expected_s", 100.0));
         assertTrue(world.reaches("n0", "req-000023", "running", 60));
@@ -332,7 +332,7 @@
 
     @Test
     void machineTakenAsAnnouncedFreesItsTasksAtOnce() {
-        World world = settled(1);
+        SimulatedCluster world = settled(1);
         world.runMicros.put("req-000037", 20_000_000L);
         world.submit("n0", jobBody("req-000037", "beads", 1, "expected_s", 1.0));
         assertTrue(world.reaches("n0", "req-000037", "running", 60));
@@ -348,7 +348,7 @@
 
     @Test
     void urgentGangDisplacesIdleWork() {
-        World world = settled(1);
+        SimulatedCluster world = settled(1);
         world.runMicros.put("req-000024", 300_000_000L);
         world.cloud.unexpected("large", "a", false);
         world.cloud.capacity = 1;
@@ -367,7 +367,7 @@
 
     @Test
     void guaranteeIsTakenBackFromABorrower() {
-        World world = new World(
+        SimulatedCluster world = new SimulatedCluster(
                 1,
                 16,
                 32 * 1024,
@@ -390,7 +390,7 @@
 
     @Test
     void faultyMachineIsReturnedAndTheWorkFinishes() {
-        World world = settled(1);
+        SimulatedCluster world = settled(1);
         String bad = world.cloud.unexpected("large", "a", false);
         world.time.passSeconds(6);
         world.runMicros.put("req-000029/0", -1L);
@@ -407,7 +407,7 @@
 
     @Test
     void jobThatFailsEverywhereDoesNotSpin() {
-        World world = settled(1);
+        SimulatedCluster world = settled(1);
         world.runMicros.put("req-000031", -1L);
         world.submit("n0", jobBody("req-000031", "beads", 1));
         world.time.passSeconds(120);
@@ -419,7 +419,7 @@
 
     @Test
     void largeArrayFitsSmallValuesAndTransactions() {
-        World world = new World(1, 4, 1024, List.of(new Settings.Team("core", 0, 0, 0, 0)));
+        SimulatedCluster world = new SimulatedCluster(1, 4, 1024, List.of(new Settings.Team("core", 0, 0, 0, 0)));
         world.time.passSeconds(2);
         for (int i = 0; i < 8; i++) {
             world.cloud.unexpected("large", i % 2 == 0 ? "a" : "b", false);
@@ -438,7 +438,7 @@
 
     @Test
     void finishedTasksAreNotRunAgainByASuccessor() {
-        World world = settled(2);
+        SimulatedCluster world = settled(2);
         for (int i = 0; i < 4; i++) {
             world.runMicros.put("req-000033/" + i, i < 2 ? 3_000_000L : 40_000_000L);
         }
@@ -453,7 +453,7 @@
 
     @Test
     void serviceRunsUntilItsUserEndsIt() {
-        World world = settled(1);
+        SimulatedCluster world = settled(1);
         world.submit("n0", jobBody("req-000034", "shape", "service", "beads", 2, "expected_s", 0.0));
         assertTrue(world.reaches("n0", "req-000034", "running", 60));
         world.time.passSeconds(60);
@@ -465,7 +465,7 @@
 
     @Test
     void workersForgetWhatIsOnRecord() {
-        World world = settled(1);
+        SimulatedCluster world = settled(1);
         world.submit("n0", jobBody("req-000035"));
         assertTrue(world.reaches("n0", "req-000035", "done", 60));
         world.time.passSeconds(3);
@@ -475,7 +475,7 @@
 
     @Test
     void bellBringsTheNextStartForward() {
-        World world = settled(1);
+        SimulatedCluster world = settled(1);
         world.cloud.unexpected("large", "a", false);
         world.cloud.capacity = 1;
         world.time.passSeconds(6);
@@ -495,7 +495,7 @@
 
     @Test
     void jobWhoseRecordIsGoneIsDroppedInsteadOfTriedForEver() {
-        World world = settled(1);
+        SimulatedCluster world = settled(1);
         world.cloud.capacity = 0;
         world.submit("n0", jobBody("req-000040"));
         world.time.passSeconds(2);
@@ -511,10 +511,10 @@
 
     @Test
     void followersSendWorkersToTheLeader() {
-        World world = settled(3);
+        SimulatedCluster world = settled(3);
         String leader = world.leader();
         for (String node : List.of("n0", "n1", "n2")) {
-            World.Answer answer = world.ask(
+            SimulatedCluster.Answer answer = world.ask(
                     node,
                     "POST",
                     "/checkin",
@@ -548,7 +548,7 @@
 
     @Test
     void cloudOutageDoesNotBlindAFreshNode() {
-        World world = settled(2);
+        SimulatedCluster world = settled(2);
         world.cloud.down(true);
         world.killNode("n1");
         world.startNode("n1");
@@ -560,7 +560,7 @@
 
     @Test
     void machineThatHearsNothingSwallowsNoWork() {
-        World world = settled(1);
+        SimulatedCluster world = settled(1);
         String deaf = world.cloud.unexpected("large", "a", true);
         world.time.passSeconds(7);
         world.deafen(deaf);
@@ -573,7 +573,7 @@
 
     @Test
     void leaderCutFromStoreAndPeersLetsItsWorkersGo() {
-        World world = settled(3);
+        SimulatedCluster world = settled(3);
         world.runMicros.put("req-000042", 60_000_000L);
         world.submit("n0", jobBody("req-000042"));
         assertTrue(world.reaches("n0", "req-000042", "running", 60));
@@ -591,7 +591,7 @@
 
     @Test
     void lateCopiesOfReportsTeachNothing() {
-        World world = settled(2);
+        SimulatedCluster world = settled(2);
         world.runMicros.put("req-000043", 50_000_000L);
         world.submit("n0", jobBody("req-000043"));
         assertTrue(world.reaches("n0", "req-000043", "running", 60));
@@ -621,7 +621,7 @@
 
     @Test
     void pollsShareOneReadAndAreNeverOlderThanTheQuestion() {
-        World world = settled(2);
+        SimulatedCluster world = settled(2);
         world.cloud.capacity = 0;
         for (int i = 0; i < 40; i++) {
             assertEquals(
@@ -649,7 +649,7 @@
 
     @Test
     void smallGangsDoNotKeepALargeOneWaitingForEver() {
-        World world = settled(1);
+        SimulatedCluster world = settled(1);
         for (int i = 0; i < 4; i++) {
             world.cloud.unexpected("large", "a", false);
         }
@@ -679,7 +679,7 @@
 
     @Test
     void aJobCostsFewChanges() {
-        World world = settled(1);
+        SimulatedCluster world = settled(1);
         world.cloud.unexpected("large", "a", false);
         world.cloud.unexpected("large", "b", false);
         world.cloud.capacity = 2;
@@ -698,7 +698,7 @@
 
     @Test
     void ordersForManyTasksAreSplit() {
-        World world = settled(1);
+        SimulatedCluster world = settled(1);
         world.cloud.unexpected("large", "a", false);
         world.cloud.capacity = 1;
         world.time.passSeconds(7);
@@ -709,7 +709,7 @@
 
     @Test
     void nodeThatFellTooFarBehindReadsAllAgain() {
-        World world = settled(2);
+        SimulatedCluster world = settled(2);
         world.cloud.capacity = 0;
         world.submit("n0", jobBody("req-000046"));
         assertEquals("queued", world.poll("n1", "req-000046").state());
@@ -727,7 +727,7 @@
     void processBackAtOnceInMidElectionLeadsAndServes() {
         // What its earlier life had under way is still carried out after its new one began.
         for (long afterMicros = 500; afterMicros < 12_000; afterMicros += 1_000) {
-            World world = new World(1);
+            SimulatedCluster world = new SimulatedCluster(1);
             world.time.pass(afterMicros);
             world.killNode("n0");
             world.startNode("n0");
@@ -741,7 +741,7 @@
 
     @Test
     void unreadableRecordStopsItsOwnJobOnly() {
-        World world = settled(2);
+        SimulatedCluster world = settled(2);
         world.runMicros.put("req-000050", 30_000_000L);
         world.submit("n0", jobBody("req-000050"));
         assertTrue(world.reaches("n0", "req-000050", "running", 60));
@@ -758,7 +758,7 @@
 
     @Test
     void nonsenseFromTheCloudStopsNothing() {
-        World world = settled(1);
+        SimulatedCluster world = settled(1);
         world.cloud.nonsense(true);
         world.submit("n0", jobBody("req-000052"));
         world.time.passSeconds(20);
@@ -768,7 +768,7 @@
 
     @Test
     void machineBackAtOnceLosesNoJob() {
-        World world = settled(1);
+        SimulatedCluster world = settled(1);
         world.runMicros.put("req-000053", 20_000_000L);
         world.submit("n0", jobBody("req-000053"));
         assertTrue(world.reaches("n0", "req-000053", "running", 60));
@@ -781,7 +781,7 @@
 
     @Test
     void everyQuestionIsAnsweredSoonAfterAllTroubles() {
-        World world = settled(3);
+        SimulatedCluster world = settled(3);
         for (int i = 0; i < 12; i++) {
             assertEquals(
                     201,
@@ -806,7 +806,7 @@
         }
         world.time.passSeconds(5);
         for (int i = 0; i < 12; i++) {
-            World.Answer answer = world.poll("n" + (i + 1) % 3, String.format("req-%06d", 700 + i));
+            SimulatedCluster.Answer answer = world.poll("n" + (i + 1) % 3, String.format("req-%06d", 700 + i));
             assertEquals(200, answer.status());
             assertEquals(i == 5, "cancelled".equals(answer.state()));
         }
@@ -822,7 +822,7 @@
         Settings.Objective end = new Settings.Objective("deadline", "any", 0, 0.9, 1);
         Settings.Objective start = new Settings.Objective("wait", "any", 200_000_000, 0.9, 1);
         for (List<Settings.Objective> aims : List.of(List.of(end), List.of(end, start))) {
-            World world = new World(1, aims);
+            SimulatedCluster world = new SimulatedCluster(1, aims);
             world.time.passSeconds(2);
             for (int i = 0; i < 30; i++) {
                 world.submit("n0", jobBody(String.format("req-%06d", 800 + i), "beads", 8, "due_s", 120.0));
@@ -836,7 +836,7 @@
     @Test
     void leaderThatStoodStillActsOnNothingThatItBelievedBefore() {
         for (int millis = 0; millis < 1_000; millis += 125) {
-            World world = settled(3);
+            SimulatedCluster world = settled(3);
             world.runMicros.put("req-000054", 60_000_000L);
             world.submit("n0", jobBody("req-000054"));
             assertTrue(world.reaches("n0", "req-000054", "running", 60));
@@ -870,7 +870,7 @@
         // Ringing brings starts forward by a report at most, and costs as much as answering one.
         int[] rung = new int[2];
         for (int late = 0; late < 2; late++) {
-            World world = settled(1);
+            SimulatedCluster world = settled(1);
             world.cloud.unexpected("large", "a", false);
             world.cloud.capacity = 1;
             world.time.passSeconds(6);
--- a/src/test/java/org/weldcourse/app/ServicesTest.java
+++ b/src/test/java/org/weldcourse/app/ServicesTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static org.weldcourse.rehearsal.World.jobBody;
+import static org.weldcourse.simulation.SimulatedCluster.jobBody;
 
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -17,10 +17,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import org.weldcourse.http.Json;
-import org.weldcourse.rehearsal.FakeNet;
-import org.weldcourse.rehearsal.FakeWorker;
-import org.weldcourse.rehearsal.World;
 import org.weldcourse.settings.Settings;
+import org.weldcourse.simulation.FakeNet;
+import org.weldcourse.simulation.FakeWorker;
+import org.weldcourse.simulation.SimulatedCluster;
 
 /** Services: replicas that run until their user cancels them, and run again elsewhere when they are lost. */
 class ServicesTest {
@@ -34,8 +34,8 @@
     }
 
     /** Four large machines, two in each zone, and the service running on them. */
-    private static World served(int nodes, Object... changes) {
-        World world = new World(nodes);
+    private static SimulatedCluster served(int nodes, Object... changes) {
+        SimulatedCluster world = new SimulatedCluster(nodes);
         world.time.passSeconds(2);
         for (int i = 0; i < 4; i++) {
             world.cloud.unexpected("large", i % 2 == 0 ? "a" : "b", false);
@@ -47,14 +47,14 @@
         return world;
     }
 
-    private static void awaitReplicas(World world, int wanted, double seconds) {
+    private static void awaitReplicas(SimulatedCluster world, int wanted, double seconds) {
         for (int i = 0; i < seconds * 10 && replicas(world).size() < wanted; i++) {
             world.time.pass(100_000);
         }
         assertEquals(wanted, replicas(world).size());
     }
 
-    private static List<String> replicas(World world) {
+    private static List<String> replicas(SimulatedCluster world) {
         List<String> running = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
             if (world.whereIs(ID + "/" + i) != null) {
@@ -64,11 +64,11 @@
         return running;
     }
 
-    private static int starts(World world) {
+    private static int starts(SimulatedCluster world) {
         return world.starts.values().stream().mapToInt(Integer::intValue).sum();
     }
 
-    private static Set<String> machines(World world) {
+    private static Set<String> machines(SimulatedCluster world) {
         Set<String> machines = new HashSet<>();
         replicas(world)
                 .forEach(task -> machines.add(world.whereIs(task).machine().name()));
@@ -78,7 +78,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"silent", "notice", "lost session", "leader ends", "state outage"})
     void lostReplicasRunAgainElsewhere(String trouble) {
-        World world = served(3);
+        SimulatedCluster world = served(3);
         FakeWorker worker = world.whereIs(ID + "/0");
         String machine = worker.machine().name();
         long lost = replicas(world).stream()
@@ -126,7 +126,7 @@
     /** What a new leader has not heard of for most of a lease is lost to its users; the lease will end unheard. */
     @Test
     void replicasOnMachinesThatWentWithTheLeaderAreNotWaitedForMuchLonger() {
-        World world = served(3);
+        SimulatedCluster world = served(3);
         FakeWorker worker = world.whereIs(ID + "/0");
         worker.freeze(true);
         world.killNode(world.leader());
@@ -142,7 +142,7 @@
     /** Silent for less than a lease, the machines of a zone go on, and nothing has to be started again. */
     @Test
     void replicasOutliveASilenceOfTheirZoneThatIsShorterThanTheirLease() {
-        World world = served(1);
+        SimulatedCluster world = served(1);
         List<String> machines = new ArrayList<>();
         world.workers.forEach((name, worker) -> {
             if (worker.machine().zone().equals("b")) {
@@ -161,7 +161,7 @@
 
     @Test
     void aSilentMachineWithReplicasIsNotWaitedForAsLongAsOthers() {
-        World world = served(1);
+        SimulatedCluster world = served(1);
         FakeWorker worker = world.whereIs(ID + "/0");
         worker.freeze(true);
         for (int i = 0;
@@ -176,7 +176,7 @@
     @Test
     void replicasKeepToTheirZonesWhenMachinesAreLostOneByOne() {
         // The world fails the test when more than half are in one zone.
-        World world = served(2, "apart", true);
+        SimulatedCluster world = served(2, "apart", true);
         for (int round = 0; round < 4; round++) {
             FakeWorker worker =
                     world.whereIs(replicas(world).get(round % replicas(world).size()));
@@ -187,7 +187,7 @@
         }
     }
 
-    private static void loseZone(World world, String zone) {
+    private static void loseZone(SimulatedCluster world, String zone) {
         world.workers.values().stream()
                 .filter(worker -> worker.machine().zone().equals(zone))
                 .forEach(worker -> worker.freeze(true));
@@ -195,7 +195,7 @@
 
     @Test
     void replicasReturnWhenZonesAreLostOneAfterTheOther() {
-        World world = served(3, "apart", true);
+        SimulatedCluster world = served(3, "apart", true);
         for (String zone : List.of("b", "a", "b")) {
             Set<String> lost = machines(world);
             lost.removeIf(
@@ -213,7 +213,7 @@
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void servicesOfOneTeamNeverExceedItsLimit(boolean leaderEnds) {
-        World world = served(3, "crew", "capped");
+        SimulatedCluster world = served(3, "crew", "capped");
         world.runMicros.put("req-000002", Long.MAX_VALUE);
         world.runMicros.put("req-000003", Long.MAX_VALUE);
         Map<String, Object> second = service("name_id", "req-000002", "crew", "capped");
@@ -250,7 +250,7 @@
     void aGuaranteeComesTrueWhereServicesOfAnotherTeamBorrowedIt() {
         List<Settings.Team> teams =
                 List.of(new Settings.Team("core", 0, 0, 0, 0), new Settings.Team("owner", 8, 0, 0, 0));
-        World world = new World(1, 16, 32 * 1024, teams);
+        SimulatedCluster world = new SimulatedCluster(1, 16, 32 * 1024, teams);
         world.time.passSeconds(2);
         world.cloud.unexpected("large", "a", false);
         world.cloud.capacity = 1;
@@ -276,7 +276,7 @@
     @ParameterizedTest
     @ValueSource(longs = {0, 150_000, 400_000, 1_200_000})
     void anAdmissionWhoseAnswerIsLateStaysOnRecord(long answerLateMicros) {
-        World world = new World(2);
+        SimulatedCluster world = new SimulatedCluster(2);
         world.time.passSeconds(2);
         world.cloud.unexpected("large", "a", false);
         world.cloud.capacity = 1;
@@ -304,7 +304,7 @@
     @ParameterizedTest
     @ValueSource(doubles = {0.05, 0.4, 7.2, 8.0, 9.0, 12.0})
     void cancelledWhileAReplacementIsUnderWay(double cancelAfter) {
-        World world = served(2);
+        SimulatedCluster world = served(2);
         world.whereIs(ID + "/0").freeze(true);
         world.time.passSeconds(cancelAfter);
         assertEquals("cancelled", world.withdraw("n0", ID).state());
@@ -323,7 +323,7 @@
 
     @Test
     void neverDoneNotEvenWhenAllReplicasEnd() {
-        World world = served(2);
+        SimulatedCluster world = served(2);
         world.runMicros.put(ID, 12_000_000L);
         world.cloud.capacity = 8;
         FakeWorker worker = world.whereIs(ID + "/1");
@@ -346,7 +346,7 @@
     @ParameterizedTest
     @ValueSource(longs = {-1, 200_000})
     void aReplicaThatAlwaysEndsBacksOffAndStaysKnown(long runMicros) {
-        World world = new World(1);
+        SimulatedCluster world = new SimulatedCluster(1);
         world.time.passSeconds(2);
         world.runMicros.put(ID, runMicros);
         assertEquals(201, world.submit("n0", service("beads", 1)).status());
@@ -360,7 +360,7 @@
 
     @Test
     void lowerRanksGiveWay() {
-        World world = new World(1);
+        SimulatedCluster world = new SimulatedCluster(1);
         world.time.passSeconds(2);
         world.cloud.unexpected("large", "a", false);
         world.cloud.capacity = 1;
@@ -375,7 +375,7 @@
 
     @Test
     void itsTeamsLowerRanksGiveWayAtTheTeamsLimit() {
-        World world = new World(1);
+        SimulatedCluster world = new SimulatedCluster(1);
         world.time.passSeconds(2);
         world.cloud.unexpected("large", "a", false);
         world.time.passSeconds(7);
@@ -390,7 +390,7 @@
 
     @Test
     void allReplicasTogetherHaveToFitTheTeamsLimit() {
-        World world = new World(1);
+        SimulatedCluster world = new SimulatedCluster(1);
         world.time.passSeconds(2);
         assertEquals(
                 422, world.submit("n0", service("crew", "capped", "beads", 9)).status());
--- a/src/test/java/org/weldcourse/app/UpgradeTest.java
+++ b/src/test/java/org/weldcourse/app/UpgradeTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static org.weldcourse.rehearsal.World.jobBody;
+import static org.weldcourse.simulation.SimulatedCluster.jobBody;
 
 import java.nio.ByteBuffer;
 import java.util.Base64;
@@ -17,9 +17,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.weldcourse.http.Json;
 import org.weldcourse.peers.PeerStatus;
-import org.weldcourse.rehearsal.FakeNet;
-import org.weldcourse.rehearsal.World;
 import org.weldcourse.settings.Settings;
+import org.weldcourse.simulation.FakeNet;
+import org.weldcourse.simulation.SimulatedCluster;
 
 /**
  * Beside the version in production, and on its records. {@code production/records.json} holds what that version left in the
@@ -40,7 +40,7 @@
         }
     }
 
-    private static void plant(World world, Map<String, Object> records) {
+    private static void plant(SimulatedCluster world, Map<String, Object> records) {
         records.forEach((key, value) -> {
             if (key.contains("/") || key.equals("types")) {
                 world.state.plant(key, value);
@@ -48,12 +48,12 @@
         });
     }
 
-    private static World world(int valueBytes, int txnOps, Settings.NextState next) {
-        return new World(2, txnOps, valueBytes, TEAMS, List.of(), next);
+    private static SimulatedCluster world(int valueBytes, int txnOps, Settings.NextState next) {
+        return new SimulatedCluster(2, txnOps, valueBytes, TEAMS, List.of(), next);
     }
 
     /** The record of a job that production accepted. */
-    private static void plantOpen(World world, Map<String, Object> body) {
+    private static void plantOpen(SimulatedCluster world, Map<String, Object> body) {
         Map<String, Object> open = Json.objectOrEmpty(Json.bytes(body));
         open.put("accepted", world.time.wallMicros());
         open.put("cancelled", false);
@@ -61,7 +61,7 @@
     }
 
     /** How the production version reads finished tasks, written down here once more and on its own. */
-    private static BitSet finishedAsProductionReads(World world, String id, int tasks, int valueBytes) {
+    private static BitSet finishedAsProductionReads(SimulatedCluster world, String id, int tasks, int valueBytes) {
         int shardTasks = Math.min(16_000, (valueBytes - 64) / 4 * 3 * 8);
         BitSet finished = new BitSet();
         for (String key : world.state.keys("done/" + id + "/")) {
@@ -83,7 +83,7 @@
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void productionsRecordsAreTakenOver(boolean limitsLowered) throws Exception {
-        World world = world(4096, 8, new Settings.NextState(50, 2048, 4));
+        SimulatedCluster world = world(4096, 8, new Settings.NextState(50, 2048, 4));
         Map<String, Object> records = production();
         BitSet small = BitSet.valueOf(Base64.getDecoder()
                 .decode((String) Json.object(records.get("slices/req-000001/0")).get("bits")));
@@ -142,7 +142,7 @@
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void recordsOfTheFirstVersionWithServicesAreTakenOver(boolean leaderEnds) throws Exception {
-        World world = world(4096, 8, new Settings.NextState(50, 2048, 4));
+        SimulatedCluster world = world(4096, 8, new Settings.NextState(50, 2048, 4));
         Map<String, Object> records = fixture("/version-0.2.0/records.json");
         Map<String, BitSet> finished = new TreeMap<>();
         for (String id : List.of("req-000001", "req-000002", "req-000005", "req-000006")) {
@@ -184,7 +184,7 @@
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2, 3, 5, 8, 10, 13})
     void limitsAreLoweredBetweenAnyTwoCommits(int commits) {
-        World world = world(1024, 8, new Settings.NextState(50, 768, 4));
+        SimulatedCluster world = world(1024, 8, new Settings.NextState(50, 768, 4));
         int[] seen = new int[1];
         world.net.fates((from, call) -> {
             if (call.path().equals("/commit") && seen[0]++ == commits) {
@@ -233,7 +233,7 @@
      * sweep of what is left.
      */
     private static int commitsOfADayThatLowersLimitsBefore(int commit) {
-        World world = world(1024, 8, new Settings.NextState(50, 768, 4));
+        SimulatedCluster world = world(1024, 8, new Settings.NextState(50, 768, 4));
         int[] seen = new int[1];
         world.net.fates((from, call) -> {
             if (call.path().equals("/commit") && seen[0]++ == commit) {
@@ -278,13 +278,13 @@
         return seen[0];
     }
 
-    private static void submit(World world, String id, Object... changes) {
+    private static void submit(SimulatedCluster world, String id, Object... changes) {
         assertEquals(201, world.submit("n0", jobBody(id, changes)).status());
     }
 
     @Test
     void recordsWrittenUnderLargerLimitsAreDividedWhenTheyAreWrittenNext() {
-        World world = world(4096, 8, new Settings.NextState(50, 1024, 4));
+        SimulatedCluster world = world(4096, 8, new Settings.NextState(50, 1024, 4));
         Map<String, Object> body = jobBody("req-000001", "beads", 800, "cpus", 0.1, "mem_gb", 0.1);
         world.adopt(body, new BitSet());
         plantOpen(world, body);
@@ -327,7 +327,7 @@
     void productionNeverTakesUnfinishedTasksForFinished() {
         // Jobs so large that the smaller limit moves the borders between the records of finished tasks.
         int tasks = 6_500;
-        World world = world(1024, 8, new Settings.NextState(50, 512, 4));
+        SimulatedCluster world = world(1024, 8, new Settings.NextState(50, 512, 4));
         world.time.passSeconds(2);
         for (int i = 0; i < 20; i++) {
             world.cloud.unexpected("large", "a", false);
@@ -358,7 +358,7 @@
     @ValueSource(doubles = {0, 2, 6, 25})
     void finishedTasksInProductionsAdmissionsSurviveTheNextAdmissions(double leaderEndsAfter) {
         int tasks = 1_200;
-        World world = world(4096, 8, new Settings.NextState(50, 512, 4));
+        SimulatedCluster world = world(4096, 8, new Settings.NextState(50, 512, 4));
         Map<String, Object> body = jobBody("req-000001", "beads", tasks, "cpus", 0.1, "mem_gb", 0.1);
         BitSet finished = new BitSet();
         finished.set(0, 700);
@@ -393,7 +393,7 @@
     @Test
     void shardsOfJobsThatFitOneAreReadByProductionToo() {
         int tasks = 1_200;
-        World world = world(4096, 8, new Settings.NextState(50, 512, 4));
+        SimulatedCluster world = world(4096, 8, new Settings.NextState(50, 512, 4));
         world.time.passSeconds(2);
         for (int i = 0; i < 4; i++) {
             world.cloud.unexpected("large", "a", false);
@@ -412,7 +412,7 @@
 
     @Test
     void aJobTooLargeToBeKeptIsRefusedAtOnceAndAKnownOneKeepsItsAnswer() {
-        World world = world(4096, 8, new Settings.NextState(50, 1024, 4));
+        SimulatedCluster world = world(4096, 8, new Settings.NextState(50, 1024, 4));
         world.time.passSeconds(2);
         Map<String, Object> wide = jobBody("req-000001", "blank", "i".repeat(2_000));
         assertEquals(422, world.submit("n0", wide).status());
--- a/src/test/java/org/weldcourse/fleet/FleetPlannerTest.java
+++ b/src/test/java/org/weldcourse/fleet/FleetPlannerTest.java
@@ -14,7 +14,7 @@
 import org.weldcourse.http.Json;
 import org.weldcourse.jobs.JobCodec;
 import org.weldcourse.jobs.JobSpec;
-import org.weldcourse.rehearsal.World;
+import org.weldcourse.simulation.SimulatedCluster;
 
 /** What is rented for which needs. */
 class FleetPlannerTest {
@@ -23,7 +23,7 @@
             new MachineType("large", 16, 0, 64, 100, 1, 1.6, 0.8, 20 * SECOND, List.of("a"));
 
     private static JobSpec job(Object... changes) throws Exception {
-        return JobCodec.spec(Json.objectOrEmpty(Json.bytes(World.jobBody("req-000001", changes))));
+        return JobCodec.spec(Json.objectOrEmpty(Json.bytes(SimulatedCluster.jobBody("req-000001", changes))));
     }
 
     private static Host up(double busyCpuSeconds, double takenShare) {
--- a/src/test/java/org/weldcourse/http/OpenLinesTest.java
+++ b/src/test/java/org/weldcourse/http/ConnectionLimiterTest.java
@@ -8,12 +8,12 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Tests of {@link OpenLines}. */
-class OpenLinesTest {
+/** Tests of {@link ConnectionLimiter}. */
+class ConnectionLimiterTest {
     private static final long PATIENCE = 10;
 
     private final List<String> closed = new ArrayList<>();
-    private final OpenLines<String> lines = new OpenLines<>(4, 3, PATIENCE, closed::add);
+    private final ConnectionLimiter<String> lines = new ConnectionLimiter<>(4, 3, PATIENCE, closed::add);
 
     private boolean worker(String line, long nowMicros) {
         return lines.opened(line, nowMicros) && lines.heard(line, true, nowMicros);
--- a/src/test/java/org/weldcourse/http/IdleLinesTest.java
+++ b/src/test/java/org/weldcourse/http/IdleConnectionPoolTest.java
@@ -7,13 +7,13 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Tests of {@link IdleLines}. */
-class IdleLinesTest {
+/** Tests of {@link IdleConnectionPool}. */
+class IdleConnectionPoolTest {
     @Test
     void thoseThatIdleLongestMakeRoom() {
         List<String> closed = new ArrayList<>();
         int[] room = {3};
-        IdleLines<String> lines = new IdleLines<>(() -> room[0], closed::add);
+        IdleConnectionPool<String> lines = new IdleConnectionPool<>(() -> room[0], closed::add);
         for (int i = 0; i < 5; i++) {
             lines.keep("worker-" + i, "line " + i);
         }
@@ -29,7 +29,7 @@
 
     @Test
     void theOneUsedLastIsTakenAndALostOneForgotten() {
-        IdleLines<String> lines = new IdleLines<>(() -> 3, line -> {});
+        IdleConnectionPool<String> lines = new IdleConnectionPool<>(() -> 3, line -> {});
         lines.keep("state", "first");
         lines.keep("state", "second");
         lines.keep("state", "third");
--- a/src/test/java/org/weldcourse/jobs/CodecTest.java
+++ b/src/test/java/org/weldcourse/jobs/CodecTest.java
@@ -13,7 +13,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 import org.weldcourse.http.Json;
-import org.weldcourse.rehearsal.World;
+import org.weldcourse.simulation.SimulatedCluster;
 import org.weldcourse.workers.CheckinCodec;
 import org.weldcourse.workers.Report;
 import org.weldcourse.workers.TaskName;
@@ -26,7 +26,7 @@
 
     @Test
     void recordReadsBackAsTheSameJob() throws Exception {
-        JobSpec spec = JobCodec.spec(wire(World.jobBody(
+        JobSpec spec = JobCodec.spec(wire(SimulatedCluster.jobBody(
                 "req-000001",
                 "due_s",
                 12.5,
@@ -67,7 +67,8 @@
         };
         for (Object[] change : bad) {
             JobCodec.Malformed malformed = assertThrows(
-                    JobCodec.Malformed.class, () -> JobCodec.spec(wire(World.jobBody("req-000001", change))));
+                    JobCodec.Malformed.class,
+                    () -> JobCodec.spec(wire(SimulatedCluster.jobBody("req-000001", change))));
             assertTrue(malformed.getMessage().contains((String) change[0]), malformed.getMessage());
         }
     }
--- a/src/test/java/org/weldcourse/leadership/LeadershipTest.java
+++ b/src/test/java/org/weldcourse/leadership/LeadershipTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import org.weldcourse.http.Caller;
 import org.weldcourse.http.Json;
-import org.weldcourse.rehearsal.FakeTime;
+import org.weldcourse.simulation.FakeTime;
 import org.weldcourse.store.Store;
 
 /** Renewals of a leader that reads its answers late, as one does whose processor is taken by its first reports. */
--- a/src/test/java/org/weldcourse/peers/PeersTest.java
+++ b/src/test/java/org/weldcourse/peers/PeersTest.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
-import org.weldcourse.rehearsal.World;
+import org.weldcourse.simulation.SimulatedCluster;
 
 /** Tests of {@link Peers}. */
 class PeersTest {
@@ -32,7 +32,7 @@
 
     @Test
     void followersNeedNotWaitForTheLeaseOfAnEndedLeader() {
-        World world = new World(3);
+        SimulatedCluster world = new SimulatedCluster(3);
         world.time.passSeconds(2);
         String old = world.leader();
         world.killNode(old);
@@ -47,7 +47,7 @@
 
     @Test
     void refusalsByAllPeersAtOnceDeposeNobody() {
-        World world = new World(3);
+        SimulatedCluster world = new SimulatedCluster(3);
         world.time.passSeconds(2);
         String leader = world.leader();
         String other = leader.equals("n0") ? "n1" : "n0";
@@ -60,10 +60,10 @@
 
     @Test
     void leaderThatIsAliveLosesItsPlaceAndNothingElse() {
-        World world = new World(3);
+        SimulatedCluster world = new SimulatedCluster(3);
         world.time.passSeconds(2);
         world.runMicros.put("req-000001", 30_000_000L);
-        world.submit("n0", World.jobBody("req-000001"));
+        world.submit("n0", SimulatedCluster.jobBody("req-000001"));
         assertTrue(world.reaches("n0", "req-000001", "running", 60));
         String old = world.leader();
         String other = old.equals("n0") ? "n1" : "n0";
@@ -74,7 +74,7 @@
 
     @Test
     void deposedLeaderYieldsOnAPeersWordAlone() {
-        World world = new World(3);
+        SimulatedCluster world = new SimulatedCluster(3);
         world.time.passSeconds(2);
         String old = world.leader();
         world.cutFromState(old);
@@ -84,7 +84,7 @@
 
     @Test
     void leaderLeavesUsersToTheOthersAsLongAsThoseServe() {
-        World world = new World(3);
+        SimulatedCluster world = new SimulatedCluster(3);
         world.time.passSeconds(2);
         String leader = world.leader();
         List<String> others =
@@ -106,13 +106,13 @@
         assertEquals(503, ready(world, leader));
     }
 
-    private static int ready(World world, String node) {
+    private static int ready(SimulatedCluster world, String node) {
         return world.ask(node, "GET", "/ready", new byte[0]).status();
     }
 
     @Test
     void nodeThatAloneIsRefusedSendsUsersElsewhere() {
-        World world = new World(3);
+        SimulatedCluster world = new SimulatedCluster(3);
         world.time.passSeconds(2);
         world.state.down(true);
         world.time.passSeconds(8);
--- a/src/test/java/org/weldcourse/runtime/DutyTest.java
+++ b/src/test/java/org/weldcourse/runtime/ScheduledTaskTest.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.api.Test;
 
 /** How a slow processor is shared: a duty that rests leaves a stated part of it to others, one that may not wait does not. */
-class DutyTest {
+class ScheduledTaskTest {
     private static final long MILLI = 1_000;
 
     private long nowMicros;
@@ -25,9 +25,9 @@
         }
     };
 
-    private Duty duty(int rest, boolean wakesItself) {
-        Duty duty =
-                new Duty("slow", clock, (delayMicros, work) -> {
+    private ScheduledTask duty(int rest, boolean wakesItself) {
+        ScheduledTask duty =
+                new ScheduledTask("slow", clock, (delayMicros, work) -> {
                     dueMicros = nowMicros + delayMicros;
                     pending = work;
                     return () -> pending = null;
@@ -59,7 +59,7 @@
 
     @Test
     void restsInStepWithWhatItsStepTook() {
-        Duty duty = duty(2, false);
+        ScheduledTask duty = duty(2, false);
         runPending();
         assertEquals(nowMicros + 200 * MILLI, dueMicros);
         duty.wakeIn(0);
@@ -81,7 +81,7 @@
 
     @Test
     void whatMayNotWaitDoesNot() {
-        Duty duty = duty(0, false);
+        ScheduledTask duty = duty(0, false);
         runPending();
         assertEquals(nowMicros + 10 * MILLI, dueMicros);
         duty.wakeIn(0);
--- a/src/test/java/org/weldcourse/rehearsal/FakeNet.java
+++ b/src/test/java/org/weldcourse/simulation/FakeNet.java
@@ -1,4 +1,4 @@
-package org.weldcourse.rehearsal;
+package org.weldcourse.simulation;
 
 import java.util.HashMap;
 import java.util.HashSet;
--- a/src/test/java/org/weldcourse/rehearsal/StandStill.java
+++ b/src/test/java/org/weldcourse/simulation/PausableProcess.java
@@ -1,4 +1,4 @@
-package org.weldcourse.rehearsal;
+package org.weldcourse.simulation;
 
 import java.util.ArrayList;
 import java.util.Collections;
@@ -11,13 +11,13 @@
  * What a process hears of the world: its timers, answers and requests. While it stands still they wait, and then come all
  * at once and in no order.
  */
-final class StandStill implements Timers {
+final class PausableProcess implements Timers {
     private final FakeTime time;
     private final List<Runnable> waiting = new ArrayList<>();
     private final Random random = new Random(7);
     private boolean still;
 
-    StandStill(FakeTime time) {
+    PausableProcess(FakeTime time) {
         this.time = time;
     }
 
--- a/src/test/java/org/weldcourse/rehearsal/RecordCapture.java
+++ b/src/test/java/org/weldcourse/simulation/RecordCapture.java
@@ -1,4 +1,4 @@
-package org.weldcourse.rehearsal;
+package org.weldcourse.simulation;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -15,7 +15,7 @@
  *
  * <pre>
  * mvn -q -DskipTests package
- * java -cp 'target/classes:target/test-classes:target/lib/*' org.weldcourse.rehearsal.RecordCapture records.json
+ * java -cp 'target/classes:target/test-classes:target/lib/*' org.weldcourse.simulation.RecordCapture records.json
  * </pre>
  *
  * Values may be 4 KiB with 8 changes a transaction, and 2 KiB with 4 changes later on.
@@ -33,7 +33,7 @@
     private RecordCapture() {}
 
     public static void main(String[] arguments) throws IOException {
-        World world = new World(
+        SimulatedCluster world = new SimulatedCluster(
                 2,
                 8,
                 4096,
@@ -55,7 +55,7 @@
         System.exit(0);
     }
 
-    private static void submitJobs(World world) {
+    private static void submitJobs(SimulatedCluster world) {
         submit(world, SERVICE, 1e6, "shape", "service", "rank", "prod", "cpus", 1.0, "apart", true, "expected_s", 0.0);
         submit(world, DONE_JOB, 2, "beads", 2);
         submit(world, CANCELLED_JOB, 300, "beads", 2);
@@ -73,9 +73,9 @@
         submit(world, SCATTERED_ARRAY, 300, "beads", SCATTERED_ARRAY_TASKS, "cpus", 0.01, "mem_gb", 0.01);
     }
 
-    private static void submit(World world, String id, double runSeconds, Object... changes) {
+    private static void submit(SimulatedCluster world, String id, double runSeconds, Object... changes) {
         world.runMicros.put(id, Math.round(runSeconds * 1e6));
-        int status = world.submit("n0", World.jobBody(id, changes)).status();
+        int status = world.submit("n0", SimulatedCluster.jobBody(id, changes)).status();
         if (status != 201) {
             throw new IllegalStateException(id + " got " + status);
         }
--- a/src/test/java/org/weldcourse/rehearsal/World.java
+++ b/src/test/java/org/weldcourse/simulation/SimulatedCluster.java
@@ -1,4 +1,4 @@
-package org.weldcourse.rehearsal;
+package org.weldcourse.simulation;
 
 import java.util.ArrayList;
 import java.util.BitSet;
@@ -19,7 +19,7 @@
  * A small cluster on a fake clock: controllers of ours, everything else scripted. It watches the rules while
  * it runs and fails the test that breaks one.
  */
-public final class World implements FakeWorker.Tasks {
+public final class SimulatedCluster implements FakeWorker.Tasks {
     public static final long REPORT_MICROS = 1_000_000;
     public static final long LEASE_MICROS = 10_000_000;
     public static final long CANCEL_MICROS = 35_000_000;
@@ -45,7 +45,7 @@
     private int startsAfterCancellation;
     private int answers;
     private final Map<String, Controller> controllers = new LinkedHashMap<>();
-    private final Map<String, StandStill> stills = new HashMap<>();
+    private final Map<String, PausableProcess> stills = new HashMap<>();
     private final Set<String> fromPeers = new HashSet<>();
     private final Map<String, String> addressByName = new LinkedHashMap<>();
     private final List<Settings.Team> teams;
@@ -54,7 +54,7 @@
     private final int valueBytes;
     private final Settings.NextState next;
 
-    public World(int nodes) {
+    public SimulatedCluster(int nodes) {
         this(
                 nodes,
                 16,
@@ -62,16 +62,16 @@
                 List.of(new Settings.Team("core", 0, 0, 0, 0), new Settings.Team("capped", 0, 8, 0, 0)));
     }
 
-    public World(int nodes, int txnOps, int valueBytes, List<Settings.Team> teams) {
+    public SimulatedCluster(int nodes, int txnOps, int valueBytes, List<Settings.Team> teams) {
         this(nodes, txnOps, valueBytes, teams, List.of(), null);
     }
 
-    public World(int nodes, List<Settings.Objective> objectives) {
+    public SimulatedCluster(int nodes, List<Settings.Objective> objectives) {
         this(nodes, 16, 32 * 1024, List.of(new Settings.Team("core", 0, 0, 0, 0)), objectives, null);
     }
 
     /** A world whose state service may lower its limits to {@code next}; see {@link FakeState#limit}. */
-    public World(
+    public SimulatedCluster(
             int nodes,
             int txnOps,
             int valueBytes,
@@ -117,7 +117,7 @@
     }
 
     public void startNode(String name) {
-        StandStill still = new StandStill(time);
+        PausableProcess still = new PausableProcess(time);
         Controller controller =
                 new Controller(settings(name), Tuning.DEFAULT, still.caller(net.caller(name)), time, still);
         stills.put(name, still);
--- a/src/test/java/org/weldcourse/rehearsal/package-info.java
+++ b/src/test/java/org/weldcourse/simulation/package-info.java
@@ -1,2 +1,2 @@
 /** The simulated cluster of the tests: clock, network, state service, cloud, workers and users. */
-package org.weldcourse.rehearsal;
+package org.weldcourse.simulation;
--- a/src/test/java/org/weldcourse/workers/ReconcilerTest.java
+++ b/src/test/java/org/weldcourse/workers/ReconcilerTest.java
@@ -2,12 +2,12 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static org.weldcourse.rehearsal.World.jobBody;
+import static org.weldcourse.simulation.SimulatedCluster.jobBody;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import org.weldcourse.admission.Board;
 import org.weldcourse.admission.Booking;
+import org.weldcourse.admission.ClusterState;
 import org.weldcourse.admission.Job;
 import org.weldcourse.admission.Machine;
 import org.weldcourse.http.Json;
@@ -15,8 +15,8 @@
 
 /** Tests of {@link Reconciler}. */
 class ReconcilerTest {
-    private final Board board = new Board();
-    private final Reconciler reconciler = new Reconciler(board, 7, 10_000_000);
+    private final ClusterState cluster = new ClusterState();
+    private final Reconciler reconciler = new Reconciler(cluster, 7, 10_000_000);
 
     private static Report report(long sequence, long token, TaskName task) {
         return new Report(
@@ -35,9 +35,9 @@
     @Test
     void everyAnswerHaltsWhatIsKnownAsCancelledEvenBeforeTheNextCycle() throws Exception {
         Job job = new Job(JobCodec.spec(Json.objectOrEmpty(Json.bytes(jobBody("req-000001")))), 1, 0);
-        board.jobs.put("req-000001", job);
-        Machine machine = board.machine("m-000001", 0);
-        Booking booking = board.book(job, 0, 1, machine, 0);
+        cluster.jobs.put("req-000001", job);
+        Machine machine = cluster.machine("m-000001", 0);
+        Booking booking = cluster.book(job, 0, 1, machine, 0);
         booking.persisted = true;
         assertEquals(
                 List.of(),
