--- a/src/main/java/org/weldcourse/fleet/MachinePool.java
+++ b/src/main/java/org/weldcourse/fleet/MachinePool.java
@@ -29,25 +29,11 @@
     private static final long LIST_MICROS = 6_000_000;
     private static final long REFUSED_MICROS = 15_000_000;
     /** A machine is charged for this long at least, with a little less so that it goes before the next second. */
-    private static final long LEAST_CHARGED_MICROS = 58_000_000;
+    static final long LEAST_CHARGED_MICROS = 58_000_000;
 
     private static final double LOAD_MEMORY_MICROS = 60e6;
-    private static final long TAKEN_MARGIN_MICROS = 1_000_000;
-    private static final double SPOT_PATIENCE = 0.6;
-    /** After this part of a lease a machine counts as silent when its zone is looked at. */
-    private static final double ZONE_SILENCE = 0.4;
-    /** Machines of the earlier leader are waited for a little longer than their lease. */
-    private static final long INHERITED_MARGIN_MICROS = 5_000_000;
-
     private static final int MOST_PER_REQUEST = 50;
     private static final int MOST_NEW_AT_ONCE = 200;
-    private static final int JOBS_TO_BLAME_MACHINE = 2;
-    /** After an election workers need a report to find the new leader and one more under its token. */
-    private static final int TAKE_OVER_REPORTS = 2;
-    /** And some time to notice that their old connection is dead. */
-    private static final long TAKE_OVER_RECONNECT_MICROS = 4_000_000;
-    /** Machines that died with the old leader are never heard of: a new one does not wait for the last of them. */
-    private static final double TAKE_OVER_UNHEARD_SHARE = 0.1;
 
     private final ClusterState cluster;
     private final Cloud cloud;
@@ -58,6 +44,7 @@
     private final Office office;
     private final RateLimiter calls;
     private final long startedMicros;
+    private final ReleasePolicy releases;
     private final Map<Offer, Long> refusedUntil = new HashMap<>();
     private final Map<String, JobSpec> startAims = new HashMap<>();
     private final Map<String, Long> lastSeenMicros = new HashMap<>();
@@ -75,8 +62,6 @@
     private long requests;
     private int rentalsInFlight;
     private boolean releaseInFlight;
-    private boolean hearsMost = true;
-    private Set<String> silentZones = Set.of();
     private boolean listInFlight;
     private boolean hasListed;
 
@@ -113,6 +98,7 @@
                 settings.cloud().requestsPerSecond() * 0.8,
                 settings.cloud().requestsPerSecond());
         this.startedMicros = clock.nowMicros();
+        this.releases = new ReleasePolicy(cluster, settings.workers(), startedMicros);
     }
 
     /** What found no room in the last admission cycle, and the machines that wait for the rest of a gang's. */
@@ -303,7 +289,7 @@
      * work once more, beside the machines that run it already.
      */
     private boolean isTakingOver(long nowMicros) {
-        if (nowMicros - startedMicros > takeOverMicros()) {
+        if (nowMicros - startedMicros > TakeOver.micros(settings.workers())) {
             return false;
         }
         int heard = 0;
@@ -312,12 +298,7 @@
             heard += machine.isUp() ? 1 : 0;
             unheard += machine.isUp() || isBooting(machine, nowMicros) ? 0 : 1;
         }
-        return !hasListed || unheard > TAKE_OVER_UNHEARD_SHARE * (heard + unheard);
-    }
-
-    /** After an election, the time in which workers find the new leader and report under its token. */
-    private long takeOverMicros() {
-        return TAKE_OVER_REPORTS * settings.workers().reportMicros() + TAKE_OVER_RECONNECT_MICROS;
+        return !hasListed || TakeOver.lacksMachines(heard, unheard);
     }
 
     private static boolean isBooting(Machine machine, long nowMicros) {
@@ -389,13 +370,6 @@
         return machine.type != null && nowMicros - machine.sinceMicros > machine.type.bootMicros() * 8 / 5 + 5_000_000;
     }
 
-    /** Later than is worth paying for. */
-    private static boolean hopeless(Machine machine, long nowMicros) {
-        return machine.type != null
-                && nowMicros - machine.sinceMicros
-                        > Math.max(LEAST_CHARGED_MICROS, machine.type.bootMicros() * 5 / 2 + 10_000_000);
-    }
-
     /** Machines, up or on their way, that could take a job of this shape without waiting for its equals. */
     private int openHosts(JobSpec shape, long nowMicros) {
         int open = 0;
@@ -432,15 +406,14 @@
             return;
         }
         List<String> names = new ArrayList<>();
-        hearsMost = hearsMost(nowMicros);
-        silentZones = silentZones(nowMicros);
+        releases.survey(nowMicros);
         Map<String, Integer> spare = new HashMap<>();
         startAims.forEach((name, shape) -> spare.put(name, openHosts(shape, nowMicros) - tuning.warmMachines()));
         List<Machine> dearestFirst = new ArrayList<>(cluster.machines.values());
         dearestFirst.sort(
                 Comparator.comparingDouble(MachinePool::pricePerCpu).reversed().thenComparing(machine -> machine.name));
         for (Machine machine : dearestFirst) {
-            String why = whyRelease(machine, nowMicros);
+            String why = releases.reason(machine, nowMicros);
             if (why == null && mayGo(machine, spare, nowMicros)) {
                 why = "idle";
             }
@@ -482,114 +455,6 @@
         return machine.type == null ? 0 : machine.type.price(machine.spot) / machine.type.cpus();
     }
 
-    private String whyRelease(Machine machine, long nowMicros) {
-        if (machine.releasing) {
-            return "asked before";
-        }
-        if (machine.failed) {
-            return "failed";
-        }
-        if (machine.jobsFailed.size() >= JOBS_TO_BLAME_MACHINE && machine.donesSinceError == 0) {
-            return "faulty";
-        }
-        if (!machine.isUp()) {
-            boolean booked = !machine.bookings.isEmpty() || machine.type == null;
-            long waitedMicros = nowMicros - startedMicros;
-            if (booked) {
-                // Known only from an earlier leader's records, and not heard of since.
-                return waitedMicros > patienceWithInherited(machine) ? "silent" : null;
-            }
-            return hopeless(machine, nowMicros)
-                            && waitedMicros > settings.workers().leaseMicros()
-                    ? "never came up"
-                    : null;
-        }
-        long silentMicros = nowMicros - machine.heardMicros;
-        if (machine.takenBackAtMicros != Long.MAX_VALUE) {
-            // Announced and come to pass: its tasks need not hold their places for as long as in doubt.
-            boolean due = nowMicros > machine.takenBackAtMicros + TAKEN_MARGIN_MICROS;
-            if (due && silentMicros > 2 * settings.workers().reportMicros()) {
-                return "taken back";
-            }
-            if (machine.bookings.isEmpty() && machine.strangers.isEmpty()) {
-                return "to be taken back, and empty";
-            }
-        }
-        if (hearsMost && machine.isDeafFor(settings.workers().leaseMicros(), nowMicros)) {
-            return "its reports arrive, answers don't reach it";
-        }
-        return silentMicros > patienceMicros(machine) ? "silent" : null;
-    }
-
-    /**
-     * How long a machine may be silent. A spot machine was most likely taken, and one that died with replicas takes their
-     * time as long as it is waited for. But one that is cut off goes on working until its lease ends, and when a whole zone
-     * falls silent, so are its machines: if the cut is short, nothing is lost, and else no more than with an early return.
-     */
-    private double patienceMicros(Machine machine) {
-        boolean mayBeDead = machine.spot || holdsReplicas(machine);
-        double share = mayBeDead && !silentZones.contains(machine.zone) ? SPOT_PATIENCE : 1;
-        return (hearsMost ? 1 : 2) * share * silenceMicros();
-    }
-
-    /** Zones of whose ordinary machines most are silent: these don't die together. */
-    private Set<String> silentZones(long nowMicros) {
-        Map<String, Integer> heardLessSilent = new HashMap<>();
-        for (Machine machine : cluster.machines.values()) {
-            if (machine.isUp() && !machine.spot && !machine.releasing) {
-                boolean silent = nowMicros - machine.heardMicros > ZONE_SILENCE * silenceMicros();
-                heardLessSilent.merge(String.valueOf(machine.zone), silent ? -1 : 1, Integer::sum);
-            }
-        }
-        heardLessSilent.values().removeIf(difference -> difference >= 0);
-        return heardLessSilent.keySet();
-    }
-
-    /**
-     * How long after the election a machine of the earlier leader may be silent. One that holds replicas is given the time
-     * in which the others found the new leader: its lease will end unheard, and its return lets them run elsewhere.
-     */
-    private long patienceWithInherited(Machine machine) {
-        long leaseMicros = settings.workers().leaseMicros();
-        if (holdsReplicas(machine) && hearsMostInherited()) {
-            return Math.max(takeOverMicros(), (long) (leaseMicros * SPOT_PATIENCE));
-        }
-        return leaseMicros + INHERITED_MARGIN_MICROS;
-    }
-
-    private boolean hearsMostInherited() {
-        int heard = 0;
-        int booked = 0;
-        for (Machine machine : cluster.machines.values()) {
-            if (!machine.bookings.isEmpty()) {
-                booked++;
-                heard += machine.isUp() ? 1 : 0;
-            }
-        }
-        return heard * 2 >= booked;
-    }
-
-    private static boolean holdsReplicas(Machine machine) {
-        return machine.bookings.values().stream().anyMatch(booking -> booking.job.spec.service());
-    }
-
-    /** When most machines fall silent or deaf together, the fault is on this side: their tasks may well be running. */
-    private boolean hearsMost(long nowMicros) {
-        int up = 0;
-        int heard = 0;
-        for (Machine machine : cluster.machines.values()) {
-            if (machine.isUp() && !machine.releasing) {
-                up++;
-                heard += nowMicros - machine.heardMicros <= silenceMicros() && !machine.isDeaf() ? 1 : 0;
-            }
-        }
-        return heard * 2 >= up;
-    }
-
-    private long silenceMicros() {
-        return settings.workers().leaseMicros();
-    }
-
     /** An idle machine stays about as long as it would take to have it back, a cheap one longer. */
     private long holdMicros(Machine machine) {
         return machine.spot ? tuning.idleHoldMicros() : tuning.idleHoldMicros() / 3;
