--- /dev/null
+++ b/src/main/java/org/weldcourse/admission/AdmissionQueues.java
@@ -0,0 +1,123 @@
+package org.weldcourse.admission;
+
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import org.weldcourse.admission.Snapshot.JobView;
+
+/**
+ * The jobs that wait, in a queue for each team. The heads of the queues are weighed: rank first, then teams within their
+ * guarantee before teams that borrow, then the order among equals. What a team uses may change from one head to the next.
+ */
+final class AdmissionQueues {
+    /** A class's largest jobs must begin within four minutes; from here on they come before their equals. */
+    private static final long LARGE_OVERDUE_MICROS = 120_000_000;
+
+    private static final long OVERDUE_MICROS = 180_000_000;
+    private static final int OVERDUE = 0;
+    private static final int KEEPS_AIM = 1;
+    private static final int MISSED_AIM = Integer.MAX_VALUE;
+
+    private final Map<String, ArrayDeque<Queued>> queues = new LinkedHashMap<>();
+    /** The tasks of each class's largest job that waits. */
+    private final Map<String, Integer> largest = new HashMap<>();
+
+    private final Map<String, TeamUsage> usages;
+    private final long nowMicros;
+
+    AdmissionQueues(List<JobView> jobs, Map<String, TeamUsage> usages, long nowMicros) {
+        this.usages = usages;
+        this.nowMicros = nowMicros;
+        for (JobView job : jobs) {
+            largest.merge(job.spec().jobClass(), job.spec().tasks(), Math::max);
+        }
+        List<Queued> ordered = new ArrayList<>(jobs.size());
+        jobs.forEach(job -> ordered.add(new Queued(job, promise(job), job.workStep())));
+        ordered.sort(Comparator.comparing((Queued queued) -> queued.job.spec().rank())
+                .thenComparing(Queued::comparePromise)
+                .thenComparing(queued -> queued.job.spec().id()));
+        for (Queued queued : ordered) {
+            queues.computeIfAbsent(queued.job.spec().team(), team -> new ArrayDeque<>())
+                    .add(queued);
+        }
+    }
+
+    boolean isEmpty() {
+        return queues.isEmpty();
+    }
+
+    /** Takes out the job that is to be admitted next. */
+    JobView removeHead() {
+        JobView head = bestHead().job;
+        String team = head.spec().team();
+        ArrayDeque<Queued> queue = queues.get(team);
+        queue.remove();
+        if (queue.isEmpty()) {
+            queues.remove(team);
+        }
+        return head;
+    }
+
+    private Queued bestHead() {
+        Queued best = null;
+        for (ArrayDeque<Queued> queue : queues.values()) {
+            Queued head = queue.element();
+            if (best == null || before(head, best)) {
+                best = head;
+            }
+        }
+        return best;
+    }
+
+    private boolean before(Queued a, Queued b) {
+        int byRank = a.job.spec().rank().compareTo(b.job.spec().rank());
+        if (byRank != 0) {
+            return byRank < 0;
+        }
+        boolean aWithin = within(a.job);
+        if (aWithin != within(b.job)) {
+            return aWithin;
+        }
+        return a.comparePromise(b) < 0;
+    }
+
+    /** A job in its team's queue, with what its place there follows from: worked out once, compared often. */
+    private record Queued(JobView job, int promise, int workStep) {
+        /**
+         * Of equal ranks: first what has waited for so long that its start is overdue, then what can still keep an
+         * aim of its class, its first before only a later one, the less work before the more since more of it does,
+         * then the rest.
+         */
+        int comparePromise(Queued other) {
+            int byPromise = Integer.compare(promise, other.promise);
+            if (byPromise == 0 && promise != OVERDUE && promise != MISSED_AIM) {
+                byPromise = Integer.compare(workStep, other.workStep);
+            }
+            return byPromise != 0 ? byPromise : Long.compare(job.latestStartMicros(), other.job.latestStartMicros());
+        }
+    }
+
+    private int promise(JobView job) {
+        boolean large = 2 * job.spec().tasks() > largest.getOrDefault(job.spec().jobClass(), 0);
+        boolean overdue = nowMicros - job.acceptedMicros() > (large ? LARGE_OVERDUE_MICROS : OVERDUE_MICROS);
+        if (overdue && !job.begun()) {
+            return OVERDUE;
+        }
+        int missed = 0;
+        while (missed < job.admitByMicros().length && job.admitByMicros()[missed] < nowMicros) {
+            missed++;
+        }
+        return missed > 0 && missed == job.admitByMicros().length ? MISSED_AIM : KEEPS_AIM + missed;
+    }
+
+    private boolean within(JobView job) {
+        TeamUsage usage = usages.get(job.spec().team());
+        return usage != null
+                && usage.withinGuarantee(
+                        job.spec(), job.spec().gang() ? job.spec().tasks() : 1);
+    }
+}
--- a/src/main/java/org/weldcourse/admission/Planner.java
+++ b/src/main/java/org/weldcourse/admission/Planner.java
@@ -1,6 +1,5 @@
 package org.weldcourse.admission;
 
-import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.Collection;
@@ -35,19 +34,9 @@
     private static final long HOLD_FEWER_MICROS = 45_000_000;
 
     private static final String ANYWHERE = "";
-    /** A class's largest jobs must begin within four minutes; from here on they come before their equals. */
-    private static final long LARGE_OWED_MICROS = 120_000_000;
-
-    private static final long OWED_MICROS = 180_000_000;
-    private static final int OWED = 0;
-    private static final int KEEPS_AIM = 1;
-    private static final int MISSED_AIM = Integer.MAX_VALUE;
 
     private final List<MachineRoom> rooms = new ArrayList<>();
     private final Map<String, TeamUsage> usages = new HashMap<>();
-    /** The tasks of each class's largest job that waits. */
-    private final Map<String, Integer> largest = new HashMap<>();
-
     private final List<Decisions.Admission> admissions = new ArrayList<>();
     private final List<Decisions.Stop> stops = new ArrayList<>();
     private final List<Decisions.Waiting> waiting = new ArrayList<>();
@@ -87,87 +76,10 @@
     }
 
     private void run(List<JobView> jobs) {
-        for (JobView job : jobs) {
-            largest.merge(job.spec().jobClass(), job.spec().tasks(), Math::max);
-        }
-        Map<String, ArrayDeque<Queued>> queues = new LinkedHashMap<>();
-        List<Queued> ordered = new ArrayList<>(jobs.size());
-        jobs.forEach(job -> ordered.add(new Queued(job, promise(job), job.workStep())));
-        ordered.sort(Comparator.comparing((Queued queued) -> queued.job.spec().rank())
-                .thenComparing(Queued::comparePromise)
-                .thenComparing(queued -> queued.job.spec().id()));
-        for (Queued queued : ordered) {
-            queues.computeIfAbsent(queued.job.spec().team(), team -> new ArrayDeque<>())
-                    .add(queued);
-        }
+        AdmissionQueues queues = new AdmissionQueues(jobs, usages, nowMicros);
         while (!queues.isEmpty()) {
-            JobView head = bestHead(queues).job;
-            ArrayDeque<Queued> queue = queues.get(head.spec().team());
-            queue.remove();
-            if (queue.isEmpty()) {
-                queues.remove(head.spec().team());
-            }
-            admit(head);
-        }
-    }
-
-    private Queued bestHead(Map<String, ArrayDeque<Queued>> queues) {
-        Queued best = null;
-        for (ArrayDeque<Queued> queue : queues.values()) {
-            Queued head = queue.element();
-            if (best == null || before(head, best)) {
-                best = head;
-            }
-        }
-        return best;
-    }
-
-    private boolean before(Queued a, Queued b) {
-        int byRank = a.job.spec().rank().compareTo(b.job.spec().rank());
-        if (byRank != 0) {
-            return byRank < 0;
-        }
-        boolean aWithin = within(a.job);
-        if (aWithin != within(b.job)) {
-            return aWithin;
+            admit(queues.removeHead());
         }
-        return a.comparePromise(b) < 0;
-    }
-
-    /** A job in its team's queue, with what its place there follows from: worked out once, compared often. */
-    private record Queued(JobView job, int promise, int workStep) {
-        /**
-         * Of equal ranks: first what has waited for so long that it is owed its start, then what can still keep an
-         * aim of its class, its first before only a later one, the less work before the more since more of it does,
-         * then the rest.
-         */
-        int comparePromise(Queued other) {
-            int byPromise = Integer.compare(promise, other.promise);
-            if (byPromise == 0 && promise != OWED && promise != MISSED_AIM) {
-                byPromise = Integer.compare(workStep, other.workStep);
-            }
-            return byPromise != 0 ? byPromise : Long.compare(job.latestStartMicros(), other.job.latestStartMicros());
-        }
-    }
-
-    private int promise(JobView job) {
-        boolean large = 2 * job.spec().tasks() > largest.getOrDefault(job.spec().jobClass(), 0);
-        boolean owed = nowMicros - job.acceptedMicros() > (large ? LARGE_OWED_MICROS : OWED_MICROS);
-        if (owed && !job.begun()) {
-            return OWED;
-        }
-        int missed = 0;
-        while (missed < job.admitByMicros().length && job.admitByMicros()[missed] < nowMicros) {
-            missed++;
-        }
-        return missed > 0 && missed == job.admitByMicros().length ? MISSED_AIM : KEEPS_AIM + missed;
-    }
-
-    private boolean within(JobView job) {
-        TeamUsage usage = usages.get(job.spec().team());
-        return usage != null
-                && usage.withinGuarantee(
-                        job.spec(), job.spec().gang() ? job.spec().tasks() : 1);
     }
 
     private void admit(JobView job) {
