--- a/src/main/java/org/weldcourse/app/Main.java
+++ b/src/main/java/org/weldcourse/app/Main.java
@@ -14,7 +14,7 @@
  */
 public final class Main {
     /** What runs here: said at the start and in every status line, so that an upgrade can be followed. */
-    static final String VERSION = "0.2.0";
+    static final String VERSION = "0.3.0";
 
     static final int FAILED = 1;
     static final int BAD_USAGE = 2;
