--- a/src/test/java/org/weldcourse/app/UpgradeTest.java
+++ b/src/test/java/org/weldcourse/app/UpgradeTest.java
@@ -181,17 +181,23 @@
         assertEquals(List.of(), world.state.keys("done/"));
     }
 
-    @ParameterizedTest
-    @ValueSource(ints = {0, 1, 2, 3, 5, 8, 10, 13})
-    void limitsAreLoweredBetweenAnyTwoCommits(int commits) {
-        SimulatedCluster world = world(1024, 8, new Settings.NextState(50, 768, 4));
+    /** Lowers the limits once so many commits were sent, and counts all that are. */
+    private static int[] lowerLimitsBefore(SimulatedCluster world, int commit) {
         int[] seen = new int[1];
         world.net.fates((from, call) -> {
-            if (call.path().equals("/commit") && seen[0]++ == commits) {
+            if (call.path().equals("/commit") && seen[0]++ == commit) {
                 world.state.limit(4, 768);
             }
             return FakeNet.NORMAL;
         });
+        return seen;
+    }
+
+    @ParameterizedTest
+    @ValueSource(ints = {0, 1, 2, 3, 5, 8, 10, 13})
+    void limitsAreLoweredBetweenAnyTwoCommits(int commits) {
+        SimulatedCluster world = world(1024, 8, new Settings.NextState(50, 768, 4));
+        int[] seen = lowerLimitsBefore(world, commits);
         world.time.passSeconds(2);
         for (int i = 0; i < 3; i++) {
             world.cloud.unexpected("large", i % 2 == 0 ? "a" : "b", false);
@@ -234,13 +240,7 @@
      */
     private static int commitsOfADayThatLowersLimitsBefore(int commit) {
         SimulatedCluster world = world(1024, 8, new Settings.NextState(50, 768, 4));
-        int[] seen = new int[1];
-        world.net.fates((from, call) -> {
-            if (call.path().equals("/commit") && seen[0]++ == commit) {
-                world.state.limit(4, 768);
-            }
-            return FakeNet.NORMAL;
-        });
+        int[] seen = lowerLimitsBefore(world, commit);
         world.time.passSeconds(2);
         for (int i = 0; i < 4; i++) {
             world.cloud.unexpected("large", i % 2 == 0 ? "a" : "b", false);
--- a/src/test/java/org/weldcourse/app/WarmUpTest.java
+++ b/src/test/java/org/weldcourse/app/WarmUpTest.java
@@ -3,6 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
+import java.io.IOException;
 import java.net.BindException;
 import java.net.InetAddress;
 import java.net.ServerSocket;
@@ -12,7 +13,7 @@
 class WarmUpTest {
     private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
 
-    private static int freePort() throws java.io.IOException {
+    private static int freePort() throws IOException {
         try (ServerSocket socket = new ServerSocket(0, 1, LOOPBACK)) {
             return socket.getLocalPort();
         }
