--- a/src/main/java/org/weldcourse/admission/SnapshotBuilder.java
+++ b/src/main/java/org/weldcourse/admission/SnapshotBuilder.java
@@ -50,7 +50,7 @@
                         machine.allocation(cluster.runTimes)));
             }
         }
-        List<TeamView> teams = quotas.views(nowMicros);
+        List<TeamView> teams = quotas.teamViews(nowMicros);
         List<JobView> jobs = new ArrayList<>();
         for (Job job : cluster.jobs.values()) {
             if (job.canBeBooked(nowMicros)) {
--- a/src/main/java/org/weldcourse/app/Commands.java
+++ b/src/main/java/org/weldcourse/app/Commands.java
@@ -78,7 +78,7 @@
 
     private static QuotaChange change(ParseResult set) throws UsageException {
         String over = set.matchedOptionValue("--over", (String) null);
-        Optional<OverQuotaPolicy> policy = OverQuotaPolicy.ofWord(over);
+        Optional<OverQuotaPolicy> policy = OverQuotaPolicy.fromExternalName(over);
         if (over != null && policy.isEmpty()) {
             throw new UsageException("over: must be drain or displace, not " + over);
         }
--- a/src/main/java/org/weldcourse/jobs/AcceptedJob.java
+++ b/src/main/java/org/weldcourse/jobs/AcceptedJob.java
@@ -35,7 +35,7 @@
     private Map<String, Object> record() {
         Map<String, Object> record = JobRecordCodec.encode(spec, acceptedWallMicros, false);
         if (grant != null) {
-            record.put(Reservation.FIELD, grant.reservation().value());
+            record.put(Reservation.FIELD, grant.reservation().toJson());
         }
         return record;
     }
--- a/src/main/java/org/weldcourse/jobs/JobSubmission.java
+++ b/src/main/java/org/weldcourse/jobs/JobSubmission.java
@@ -95,7 +95,7 @@
         if (job.hasReservation()) {
             boolean earlierTryMayApply = tries < MAX_TRIES;
             if (!earlierTryMayApply) {
-                quota.giveBack(
+                quota.release(
                         job.spec().team(),
                         job.spec().quotaPerTask(),
                         job.grant().reservation());
--- a/src/main/java/org/weldcourse/leader/LeaderTerm.java
+++ b/src/main/java/org/weldcourse/leader/LeaderTerm.java
@@ -180,12 +180,12 @@
 
         @Override
         public void addAdmissionConditions(CompareAndSwap admission, Job job) {
-            quotas.guard(admission, job);
+            quotas.addPreconditions(admission, job);
         }
 
         @Override
         public void conditionFailed(Job job, List<Object> keys) {
-            quotas.conditionFailed(job, keys);
+            quotas.preconditionFailed(job, keys);
         }
     }
 
--- a/src/main/java/org/weldcourse/persistence/OpenJobsWatch.java
+++ b/src/main/java/org/weldcourse/persistence/OpenJobsWatch.java
@@ -95,7 +95,7 @@
 
     private void readUpTo(long revision) {
         openRevision = Math.max(openRevision, revision);
-        quotas.readUpTo(revision);
+        quotas.openJobsReadUpTo(revision);
     }
 
     /** Reads what changed of the open jobs at once, beside the watch that is under way. */
@@ -201,7 +201,7 @@
             }
             cluster.jobs.put(id, job);
             listener.jobSeen(job.spec());
-            quotas.jobSeen(job, value);
+            quotas.jobLoaded(job, value);
         }
         if (version >= job.records().jobRevision() && !job.isClosed()) {
             job.records().jobRead(version);
--- a/src/main/java/org/weldcourse/quota/enforcement/LedgerQuotaEnforcement.java
+++ b/src/main/java/org/weldcourse/quota/enforcement/LedgerQuotaEnforcement.java
@@ -121,7 +121,7 @@
     }
 
     @Override
-    public List<TeamView> views(long nowMicros) {
+    public List<TeamView> teamViews(long nowMicros) {
         snapshot = takeSnapshot();
         return snapshot.views();
     }
@@ -132,7 +132,7 @@
     }
 
     @Override
-    public void guard(CompareAndSwap admission, Job job) {
+    public void addPreconditions(CompareAndSwap admission, Job job) {
         String team = job.spec().team();
         EffectiveQuota quota = ledger.quota(team);
         if (quota == null) {
@@ -143,7 +143,7 @@
     }
 
     @Override
-    public void conditionFailed(Job job, List<Object> keys) {
+    public void preconditionFailed(Job job, List<Object> keys) {
         boolean ofLedger = keys.stream().anyMatch(key -> String.valueOf(key).startsWith(QuotaRecordCodec.PREFIX));
         if (ofLedger) {
             ledger.refresh(job.spec().team(), isRead -> {});
@@ -151,8 +151,8 @@
     }
 
     @Override
-    public void jobSeen(Job job, Map<String, Object> jobRecord) {
-        Reservation reservation = Reservation.of(jobRecord);
+    public void jobLoaded(Job job, Map<String, Object> jobRecord) {
+        Reservation reservation = Reservation.fromJobRecord(jobRecord);
         if (reservation == null) {
             return;
         }
@@ -169,7 +169,7 @@
     }
 
     @Override
-    public void readUpTo(long revision) {
+    public void openJobsReadUpTo(long revision) {
         reservations.readUpTo(revision);
     }
 
--- a/src/main/java/org/weldcourse/quota/enforcement/OverQuotaMonitor.java
+++ b/src/main/java/org/weldcourse/quota/enforcement/OverQuotaMonitor.java
@@ -120,6 +120,6 @@
     }
 
     private static String leftTo(OverQuotaPolicy policy) {
-        return " left to " + policy.word() + "; ";
+        return " left to " + policy.externalName() + "; ";
     }
 }
--- a/src/main/java/org/weldcourse/quota/enforcement/QuotaEnforcement.java
+++ b/src/main/java/org/weldcourse/quota/enforcement/QuotaEnforcement.java
@@ -20,25 +20,25 @@
     void begin();
 
     /** Each team's quota and what counts against it, for the admission cycle that begins. */
-    List<TeamView> views(long nowMicros);
+    List<TeamView> teamViews(long nowMicros);
 
     /** How many of the job's waiting tasks are counted already in the views, as reserved. */
     int reservedTasks(Job job);
 
     /** Adds to the write of an admission the conditions under which the team's quota allows it. */
-    void guard(CompareAndSwap admission, Job job);
+    void addPreconditions(CompareAndSwap admission, Job job);
 
     /** An admission of the job was refused, since the condition on each of these keys did not hold. */
-    void conditionFailed(Job job, List<Object> keys);
+    void preconditionFailed(Job job, List<Object> keys);
 
     /** The job's record was read for the first time. */
-    void jobSeen(Job job, Map<String, Object> jobRecord);
+    void jobLoaded(Job job, Map<String, Object> jobRecord);
 
     /** The job is over, and nothing of it is left. */
     void jobEnded(Job job);
 
     /** All records of open jobs up to this revision were read. */
-    void readUpTo(long revision);
+    void openJobsReadUpTo(long revision);
 
     /** The cycle is over, and these found no room. */
     void cycleEnded(List<CycleDecisions.PendingTasks> waiting, long nowMicros);
--- a/src/main/java/org/weldcourse/quota/enforcement/SettingsQuotaEnforcement.java
+++ b/src/main/java/org/weldcourse/quota/enforcement/SettingsQuotaEnforcement.java
@@ -30,7 +30,7 @@
     }
 
     @Override
-    public List<TeamView> views(long nowMicros) {
+    public List<TeamView> teamViews(long nowMicros) {
         List<TeamView> teams = new ArrayList<>();
         for (Settings.Team team : settings.teams()) {
             teams.add(TeamView.of(team, cluster.quotaUsage.countedAgainst(team.name())));
@@ -47,19 +47,19 @@
     }
 
     @Override
-    public void guard(CompareAndSwap admission, Job job) {}
+    public void addPreconditions(CompareAndSwap admission, Job job) {}
 
     @Override
-    public void conditionFailed(Job job, List<Object> keys) {}
+    public void preconditionFailed(Job job, List<Object> keys) {}
 
     @Override
-    public void jobSeen(Job job, Map<String, Object> jobRecord) {}
+    public void jobLoaded(Job job, Map<String, Object> jobRecord) {}
 
     @Override
     public void jobEnded(Job job) {}
 
     @Override
-    public void readUpTo(long revision) {}
+    public void openJobsReadUpTo(long revision) {}
 
     @Override
     public void cycleEnded(List<CycleDecisions.PendingTasks> waiting, long nowMicros) {}
--- a/src/main/java/org/weldcourse/quota/ledger/BudgetedSubmissionQuota.java
+++ b/src/main/java/org/weldcourse/quota/ledger/BudgetedSubmissionQuota.java
@@ -60,7 +60,7 @@
     }
 
     @Override
-    public void giveBack(String team, ResourceAmount perTask, Reservation reservation) {
+    public void release(String team, ResourceAmount perTask, Reservation reservation) {
         Spent spent = spentByTeam.get(team);
         if (spent != null && spent.version() == reservation.quotaVersion()) {
             ResourceAmount returned = perTask.times(reservation.tasks());
--- a/src/main/java/org/weldcourse/quota/ledger/CohortQuotaEdit.java
+++ b/src/main/java/org/weldcourse/quota/ledger/CohortQuotaEdit.java
@@ -39,6 +39,7 @@
     @Override
     public String describe(CohortQuota terms) {
         return "CohortLimit[name=" + terms.name() + ", limit=" + terms.limit() + ", overLimit="
-                + terms.overQuotaPolicy().word().toUpperCase(Locale.ROOT) + ", version=" + terms.version() + "]";
+                + terms.overQuotaPolicy().externalName().toUpperCase(Locale.ROOT) + ", version=" + terms.version()
+                + "]";
     }
 }
--- a/src/main/java/org/weldcourse/quota/ledger/OverQuotaPolicy.java
+++ b/src/main/java/org/weldcourse/quota/ledger/OverQuotaPolicy.java
@@ -9,21 +9,21 @@
     /** As many as are over the limit are preempted, those of low priority first. */
     PREEMPT("displace");
 
-    private final String word;
+    private final String externalName;
 
     OverQuotaPolicy(String word) {
-        this.word = word;
+        this.externalName = word;
     }
 
     /** The policy's name in records and on the command line. */
-    public String word() {
-        return word;
+    public String externalName() {
+        return externalName;
     }
 
     /** The policy of this name, if there is one. */
-    public static Optional<OverQuotaPolicy> ofWord(String word) {
+    public static Optional<OverQuotaPolicy> fromExternalName(String word) {
         for (OverQuotaPolicy policy : values()) {
-            if (policy.word.equals(word)) {
+            if (policy.externalName.equals(word)) {
                 return Optional.of(policy);
             }
         }
--- a/src/main/java/org/weldcourse/quota/ledger/QuotaCommand.java
+++ b/src/main/java/org/weldcourse/quota/ledger/QuotaCommand.java
@@ -76,7 +76,7 @@
                 + orNone(quota.limit().cpuLimit())
                 + "  gpus " + quota.guarantee().gpus() + " to "
                 + orNone(quota.limit().gpuLimit())
-                + "  over " + quota.overQuotaPolicy().word()
+                + "  over " + quota.overQuotaPolicy().externalName()
                 + cohort
                 + "  version " + quota.version()
                 + budgets;
@@ -86,7 +86,7 @@
         return "cohort " + quota.name()
                 + "  cpus " + orNone(quota.limit().cpuLimit())
                 + "  gpus " + orNone(quota.limit().gpuLimit())
-                + "  over " + quota.overQuotaPolicy().word()
+                + "  over " + quota.overQuotaPolicy().externalName()
                 + "  version " + quota.version();
     }
 
--- a/src/main/java/org/weldcourse/quota/ledger/QuotaRecordCodec.java
+++ b/src/main/java/org/weldcourse/quota/ledger/QuotaRecordCodec.java
@@ -64,7 +64,7 @@
                 "gpus_max",
                 quota.limit().gpuLimit(),
                 "over",
-                quota.overQuotaPolicy().word());
+                quota.overQuotaPolicy().externalName());
     }
 
     /** The value of a team's record. */
@@ -86,7 +86,7 @@
                 "gpus_max",
                 quota.limit().gpuLimit(),
                 "over",
-                quota.overQuotaPolicy().word(),
+                quota.overQuotaPolicy().externalName(),
                 "cohort",
                 quota.cohort(),
                 "budgets",
@@ -188,7 +188,7 @@
         }
 
         OverQuotaPolicy overQuotaPolicy() throws UnreadableQuotaRecordException {
-            return OverQuotaPolicy.ofWord(Json.text(entry.value(), "over"))
+            return OverQuotaPolicy.fromExternalName(Json.text(entry.value(), "over"))
                     .orElseThrow(() -> unreadable("field over is missing or unknown"));
         }
 
--- a/src/main/java/org/weldcourse/quota/ledger/Reservation.java
+++ b/src/main/java/org/weldcourse/quota/ledger/Reservation.java
@@ -22,12 +22,12 @@
     }
 
     /** The value of the field. */
-    public Map<String, Object> value() {
+    public Map<String, Object> toJson() {
         return Json.of("by", owner, "under", quotaVersion, "tasks", tasks);
     }
 
     /** The reservation in a job's record, or null when it has none that can be read. */
-    public static Reservation of(Map<String, Object> jobRecord) {
+    public static Reservation fromJobRecord(Map<String, Object> jobRecord) {
         Map<String, Object> value = Json.object(jobRecord.get(FIELD));
         String owner = Json.text(value, "by");
         long tasks = Json.integer(value, "tasks", -1);
--- a/src/main/java/org/weldcourse/quota/ledger/SettingsSubmissionQuota.java
+++ b/src/main/java/org/weldcourse/quota/ledger/SettingsSubmissionQuota.java
@@ -21,7 +21,7 @@
     }
 
     @Override
-    public void giveBack(String team, ResourceAmount perTask, Reservation reservation) {
+    public void release(String team, ResourceAmount perTask, Reservation reservation) {
         throw new IllegalStateException("nothing is reserved");
     }
 }
--- a/src/main/java/org/weldcourse/quota/ledger/SubmissionQuota.java
+++ b/src/main/java/org/weldcourse/quota/ledger/SubmissionQuota.java
@@ -24,5 +24,5 @@
     Grant reserve(String team, ResourceAmount perTask, int tasks);
 
     /** The write of this reservation was refused for certain, so that its budget can be used again. */
-    void giveBack(String team, ResourceAmount perTask, Reservation reservation);
+    void release(String team, ResourceAmount perTask, Reservation reservation);
 }
--- a/src/main/java/org/weldcourse/quota/ledger/TeamQuotaEdit.java
+++ b/src/main/java/org/weldcourse/quota/ledger/TeamQuotaEdit.java
@@ -73,7 +73,7 @@
     @Override
     public String describe(TeamQuota terms) {
         return "TeamLimit[team=" + terms.name() + ", guarantee=" + terms.guarantee() + ", limit=" + terms.limit()
-                + ", overLimit=" + terms.overQuotaPolicy().word().toUpperCase(Locale.ROOT) + ", cohort="
+                + ", overLimit=" + terms.overQuotaPolicy().externalName().toUpperCase(Locale.ROOT) + ", cohort="
                 + terms.cohort() + ", budgets=" + terms.budgets() + ", budgetsCohortVersion="
                 + terms.budgetsCohortVersion() + ", version=" + terms.version() + "]";
     }
--- a/src/test/java/org/weldcourse/app/RealTeamLimitsTest.java
+++ b/src/test/java/org/weldcourse/app/RealTeamLimitsTest.java
@@ -27,7 +27,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.weldcourse.http.Json;
-import org.weldcourse.quota.QuotaHistory;
+import org.weldcourse.quota.QuotaHistoryChecker;
 import org.weldcourse.settings.Settings;
 import org.weldcourse.simulation.DeployedProgram;
 import org.weldcourse.simulation.LoopbackCluster;
@@ -60,13 +60,13 @@
     private final List<String> accepted = new ArrayList<>();
     private final AtomicInteger refusals = new AtomicInteger();
     private LoopbackCluster cluster;
-    private QuotaHistory history;
+    private QuotaHistoryChecker history;
 
     @Test
     void limitsHoldOverAFrozenAndAKilledProcess() throws Exception {
         List<String> options = MODE.isEmpty() ? List.of() : List.of("--operators", MODE);
         cluster = new LoopbackCluster(3, MACHINES, TEAMS, directory, options);
-        history = cluster.on(() -> new QuotaHistory(cluster.state(), cluster.rules()));
+        history = cluster.on(() -> new QuotaHistoryChecker(cluster.state(), cluster.rules()));
         cluster.on(() -> {
             cluster.rules().alsoOnStart((task, attempt) -> started(task));
             return null;
--- a/src/test/java/org/weldcourse/quota/QuotaHistory.java
+++ b/src/test/java/org/weldcourse/quota/QuotaHistoryChecker.java
@@ -25,7 +25,7 @@
  * that adds a reservation or a budget has to leave all that counts within the limit in force. Each task that starts has to
  * find its team within a limit that was in force since the task was admitted.
  */
-public final class QuotaHistory {
+public final class QuotaHistoryChecker {
     private final ClusterInvariants rules;
     private final Map<String, Limit> limits = new HashMap<>();
     private final Map<String, TreeMap<Long, ResourceAmount>> cohorts = new HashMap<>();
@@ -56,7 +56,7 @@
     private record OpenJob(
             String id, String team, ResourceAmount perTask, int tasks, boolean cancelled, Reservation reservation) {}
 
-    public QuotaHistory(FakeStore state, ClusterInvariants rules) {
+    public QuotaHistoryChecker(FakeStore state, ClusterInvariants rules) {
         this.rules = rules;
         state.onCommit(this::committed);
         rules.onStart(this::started);
@@ -130,7 +130,7 @@
                 ResourceAmount.of(Json.decimal(value, "cpus", 0), Json.decimal(value, "gpus", 0)),
                 (int) Json.integer(value, "beads", 0),
                 Json.flag(value, "cancelled"),
-                Reservation.of(value));
+                Reservation.fromJobRecord(value));
         openJobs.put(id, job);
         everyJob.put(id, job);
         if (isNew && job.reservation != null && !job.reservation.isNone()) {
--- a/src/test/java/org/weldcourse/quota/ReservationCostTest.java
+++ b/src/test/java/org/weldcourse/quota/ReservationCostTest.java
@@ -27,7 +27,7 @@
     /** Each of five controllers accepts a gang a second, of two tasks that run for two seconds. */
     private static Cost day(OperatorSettings.TeamLimitSource mode) {
         SimulatedCluster world = new SimulatedCluster(5, 16, 32 * 1024, TEAMS, mode);
-        QuotaHistory history = new QuotaHistory(world.store, world.rules());
+        QuotaHistoryChecker history = new QuotaHistoryChecker(world.store, world.rules());
         Map<String, Long> submitted = new HashMap<>();
         List<Long> waits = new ArrayList<>();
         world.rules().alsoOnStart((task, attempt) -> {
--- a/src/test/java/org/weldcourse/quota/TeamLimitsRandomTest.java
+++ b/src/test/java/org/weldcourse/quota/TeamLimitsRandomTest.java
@@ -50,7 +50,7 @@
     private static final class Day {
         private final Random random;
         private final SimulatedCluster world;
-        private final QuotaHistory history;
+        private final QuotaHistoryChecker history;
         private final Totals totals;
         private final Map<String, Map<String, Object>> accepted = new LinkedHashMap<>();
         private final List<String> cancelled = new ArrayList<>();
@@ -65,7 +65,7 @@
             this.totals = totals;
             random = new Random(seed);
             world = new SimulatedCluster(NODES, 16, 32 * 1024, TEAMS, OperatorSettings.TeamLimitSource.RECORDED);
-            history = new QuotaHistory(world.store, world.rules());
+            history = new QuotaHistoryChecker(world.store, world.rules());
             inCohort = seed % 2 == 1;
             light = seed % 4 >= 2;
         }
--- a/src/test/java/org/weldcourse/quota/TeamLimitsWorld.java
+++ b/src/test/java/org/weldcourse/quota/TeamLimitsWorld.java
@@ -31,13 +31,13 @@
             new Settings.Team("late", 4, 16, 0, 0));
 
     final SimulatedCluster world;
-    final QuotaHistory history;
+    final QuotaHistoryChecker history;
     final QuotaEditor operator;
     private int lastJob;
 
     TeamLimitsWorld() {
         world = new SimulatedCluster(5, 16, 32 * 1024, TEAMS, OperatorSettings.TeamLimitSource.RECORDED);
-        history = new QuotaHistory(world.store, world.rules());
+        history = new QuotaHistoryChecker(world.store, world.rules());
         operator = new QuotaEditor(world.storeOf("operator"));
         world.clock.passSeconds(3);
     }
@@ -110,7 +110,7 @@
         double sum = 0;
         for (String key : world.store.keys("open/")) {
             Map<String, Object> value = world.store.value(key);
-            Reservation reservation = Reservation.of(value);
+            Reservation reservation = Reservation.fromJobRecord(value);
             if (team.equals(value.get("crew")) && reservation != null) {
                 sum += reservation.tasks() * Json.decimal(value, "cpus", 0);
             }
