--- a/src/main/java/org/weldcourse/app/Controller.java
+++ b/src/main/java/org/weldcourse/app/Controller.java
@@ -67,7 +67,7 @@
         CloudClient cloud = new CloudClient(caller, settings.cloudAddress());
         this.election = new LeaderElection(
                 settings.nodeName(), store, clock, timers, operatorSettings.leaderLeaseMicros(), new ElectionEvents());
-        this.machineTypes = new MachineTypeCatalog(store, cloud, clock, timers, election::leads);
+        this.machineTypes = new MachineTypeCatalog(store, cloud, clock, timers, election::isLeader);
         this.readiness = new Readiness(settings, clock, store, peers, machineTypes, election);
         Optional<RecordedTeamQuotas> recordedQuotas = recordedQuotas(operatorSettings);
         this.quotaLedger = recordedQuotas.map(RecordedTeamQuotas::ledger);
@@ -143,7 +143,7 @@
 
     /** Whether this node believes it is the leader. */
     public boolean leads() {
-        return election.leads();
+        return election.isLeader();
     }
 
     /** Starts of tasks since the process began, over all of its terms as the leader. */
@@ -154,16 +154,16 @@
     /** What a scrape shows of this controller, in the text format of Prometheus. */
     public String metrics() {
         ControllerMetrics metrics = new ControllerMetrics();
-        metrics.addProcess(election.leads(), startCounts);
+        metrics.addProcess(election.isLeader(), startCounts);
         if (term != null) {
-            term.addTo(metrics);
+            term.reportTo(metrics);
         }
         return metrics.toString();
     }
 
     private void endTerm() {
         if (term != null) {
-            term.end();
+            term.stop();
             term = null;
         }
     }
@@ -173,7 +173,7 @@
         @Override
         public void elected(long fencingToken, long fencingTokenVersion) {
             term = new LeaderTerm(termDependencies, fencingToken, fencingTokenVersion);
-            term.begin();
+            term.start();
         }
 
         @Override
@@ -189,14 +189,14 @@
             return new PeerStatus(
                     settings.nodeName(),
                     election.fencingToken(),
-                    election.leads(),
+                    election.isLeader(),
                     readiness.reachesStore(),
                     readiness.servesUsersAsFollower());
         }
 
         @Override
         public void peerIsLeader(String name, long fencingToken) {
-            election.peerIsLeader(fencingToken);
+            election.peerReportsLeadership(fencingToken);
         }
 
         @Override
--- a/src/main/java/org/weldcourse/app/ControllerMetrics.java
+++ b/src/main/java/org/weldcourse/app/ControllerMetrics.java
@@ -20,7 +20,8 @@
     }
 
     @Override
-    public void term(long fencingToken, boolean loaded, long recordsRevision, int outstandingJobs, int unknownTasks) {
+    public void reportTerm(
+            long fencingToken, boolean loaded, long recordsRevision, int outstandingJobs, int unknownTasks) {
         text.add("token", "The token that this leader's workers obey.", fencingToken);
         text.add("records_loaded", "Whether this leader has read the records.", loaded ? 1 : 0);
         text.add("records_revision", "The revision that the records were read at.", recordsRevision);
@@ -29,7 +30,7 @@
     }
 
     @Override
-    public void team(String team, ResourceAmount booked, ResourceAmount notBooked, ResourceAmount limit) {
+    public void reportTeam(String team, ResourceAmount booked, ResourceAmount notBooked, ResourceAmount limit) {
         text.addForTeam("team_booked_cpus", "CPUs that the team's bookings take.", team, booked.cpus());
         text.addForTeam("team_booked_gpus", "GPUs that the team's bookings take.", team, booked.gpus());
         text.addForTeam("team_unbooked_cpus", "CPUs that count without a booking.", team, notBooked.cpus());
--- a/src/main/java/org/weldcourse/app/HeartbeatEndpoint.java
+++ b/src/main/java/org/weldcourse/app/HeartbeatEndpoint.java
@@ -34,7 +34,7 @@
     /** Answers 421 with the leader's name where another node leads, 400 to a malformed one, else as the term does. */
     void handle(Request request, Reply reply) {
         LeaderTerm term = currentTerm.get();
-        if (term == null || !election.leads()) {
+        if (term == null || !election.isLeader()) {
             String leader = election.leaderName();
             reply.send(421, leader == null || leader.equals(nodeName) ? Map.of() : Json.of("foreman", leader));
             return;
@@ -47,7 +47,7 @@
             reply.send(400, Json.of("error", "not a report"));
             return;
         }
-        term.heartbeat(heartbeat, reply);
+        term.handleHeartbeat(heartbeat, reply);
     }
 
     private void logFirst(MalformedHeartbeatException malformed, byte[] body) {
--- a/src/main/java/org/weldcourse/app/Node.java
+++ b/src/main/java/org/weldcourse/app/Node.java
@@ -92,7 +92,7 @@
                 eventLoop, warmUp, timers, new Server.Limits(1, 1, Long.MAX_VALUE, Long.MAX_VALUE), () -> {});
         EmbeddedChannel connection = new EmbeddedChannel();
         warmUpServer.serve(connection);
-        warmUp.sendThrough(request -> {
+        warmUp.useConnection(request -> {
             connection.writeInbound(Unpooled.wrappedBuffer(request));
             for (ByteBuf out = connection.readOutbound(); out != null; out = connection.readOutbound()) {
                 out.release();
--- a/src/main/java/org/weldcourse/app/Readiness.java
+++ b/src/main/java/org/weldcourse/app/Readiness.java
@@ -51,7 +51,7 @@
 
     /** Whether this node serves users as a follower, which is what a leader would leave them to. */
     boolean servesUsersAsFollower() {
-        return !election.leads() && whyUnableToServe().isEmpty();
+        return !election.isLeader() && whyUnableToServe().isEmpty();
     }
 
     /**
@@ -60,7 +60,7 @@
      */
     void handle(Reply reply) {
         Optional<String> why = whyUnableToServe();
-        if (why.isEmpty() && election.leads() && peers.serveUsers()) {
+        if (why.isEmpty() && election.isLeader() && peers.serveUsers()) {
             why = Optional.of("leads, and the others serve users");
         }
         if (why.isEmpty()) {
--- a/src/main/java/org/weldcourse/election/LeaderElection.java
+++ b/src/main/java/org/weldcourse/election/LeaderElection.java
@@ -42,7 +42,7 @@
     private long ownLeaseId;
     private long fencingToken;
     private long fencingTokenVersion;
-    private long leaseEndMicros;
+    private long leaseExpiryMicros;
     private boolean requestInFlight;
     /** Counts changes of role, so that an answer to a request of an earlier role is ignored. */
     private int roleChanges;
@@ -89,18 +89,18 @@
     }
 
     /** Whether this node believes that it is the leader, whether or not its lease is still valid. */
-    public boolean leads() {
+    public boolean isLeader() {
         return role == Role.LEADER;
     }
 
     /** Whether nobody else can have been elected yet: the lease is counted from the sending of its renewal. */
-    public boolean leaseHolds() {
-        return role == Role.LEADER && clock.nowMicros() < leaseEndMicros;
+    public boolean isLeaseValid() {
+        return role == Role.LEADER && clock.nowMicros() < leaseExpiryMicros;
     }
 
     /** The earliest time of the own lease's expiry by what is known here, in microseconds of the clock. */
-    public long leaseEndMicros() {
-        return leaseEndMicros;
+    public long leaseExpiryMicros() {
+        return leaseExpiryMicros;
     }
 
     /** A newer fencing token was seen, or a commit failed on its guard of the token: step down and look again. */
@@ -116,7 +116,7 @@
     }
 
     /** A peer says that it is the leader: when its token is higher, this node was deposed and can't have heard of it. */
-    public void peerIsLeader(long peerFencingToken) {
+    public void peerReportsLeadership(long peerFencingToken) {
         if (role == Role.LEADER && peerFencingToken > fencingToken) {
             stepDown("a peer is leader under fencing token " + peerFencingToken);
         }
@@ -168,7 +168,7 @@
                 return;
             }
             if (outcome == Outcome.OK) {
-                leaseEndMicros = sentMicros + lessClockDrift(leaseMicros);
+                leaseExpiryMicros = sentMicros + lessClockDrift(leaseMicros);
                 // Counted from its sending: a node that reads its answers late must not renew the later for it.
                 stepAgainIn(Math.max(0, sentMicros + leaseMicros / 4 - clock.nowMicros()));
             } else if (outcome == Outcome.REFUSED || outcome == Outcome.INVALID) {
@@ -268,7 +268,7 @@
             ownLeaseId = newLeaseId;
             fencingToken = newFencingToken;
             fencingTokenVersion = commit.revision();
-            leaseEndMicros = sentMicros + lessClockDrift(leaseMicros);
+            leaseExpiryMicros = sentMicros + lessClockDrift(leaseMicros);
             LOG.info("elected leader, fencing token {}", fencingToken);
             listener.elected(fencingToken, fencingTokenVersion);
             stepAgainIn(leaseMicros / 4);
--- a/src/main/java/org/weldcourse/leader/AdmissionCycle.java
+++ b/src/main/java/org/weldcourse/leader/AdmissionCycle.java
@@ -114,7 +114,7 @@
         for (Machine machine : cluster.machines.values()) {
             taskEviction.evictBeforeReclaim(machine, nowMicros);
         }
-        if (dependencies.election().leaseHolds()) {
+        if (dependencies.election().isLeaseValid()) {
             quotas.bookingsOverQuota().forEach(taskEviction::evict);
             admitWaiting(nowMicros);
         }
--- a/src/main/java/org/weldcourse/leader/HeartbeatHandler.java
+++ b/src/main/java/org/weldcourse/leader/HeartbeatHandler.java
@@ -77,7 +77,7 @@
      * cancellations: what is started then would be stopped, but it would have been started.
      */
     private boolean mayStartTasks(long nowMicros) {
-        return dependencies.election().leaseHolds()
+        return dependencies.election().isLeaseValid()
                 && dependencies.store().failingSinceMicros() < 0
                 && leaseRenewalBound.isFreshAt(nowMicros);
     }
@@ -89,7 +89,7 @@
      */
     private boolean mayRenewWorkerLeases(long nowMicros) {
         return leaseRenewalBound.mayRenewAt(nowMicros)
-                && (nowMicros < dependencies.election().leaseEndMicros()
-                        || dependencies.storeOutage().isShared());
+                && (nowMicros < dependencies.election().leaseExpiryMicros()
+                        || dependencies.storeOutage().affectsAllControllers());
     }
 }
--- a/src/main/java/org/weldcourse/leader/JobEndings.java
+++ b/src/main/java/org/weldcourse/leader/JobEndings.java
@@ -67,7 +67,7 @@
                 recordWriter.close(job);
             }
         } else {
-            recordWriter.saveDone(job);
+            recordWriter.saveFinishedTasks(job);
             if (job.spec().isGang()) {
                 taskEviction.evictGangIfLate(job, nowMicros);
             }
--- a/src/main/java/org/weldcourse/leader/LeaderTerm.java
+++ b/src/main/java/org/weldcourse/leader/LeaderTerm.java
@@ -123,17 +123,17 @@
     }
 
     /** Reads the predecessor's records back and begins to work. */
-    public void begin() {
+    public void start() {
         cycle.start();
         quotas.begin();
         recordReader.load();
     }
 
     /** Ends the term: nothing of it acts any more, and answers to its requests are ignored. */
-    public void end() {
+    public void stop() {
         cycle.cancel();
-        recordReader.end();
-        recordWriter.end();
+        recordReader.stop();
+        recordWriter.stop();
         quotas.end();
         autoscaler.cancel();
     }
@@ -142,13 +142,13 @@
      * Answers a worker's heartbeat: 503 while this leader may not renew workers' leases, else 200 with the commands for
      * the worker, whose lease that renews.
      */
-    public void heartbeat(Heartbeat heartbeat, Reply reply) {
+    public void handleHeartbeat(Heartbeat heartbeat, Reply reply) {
         heartbeats.handle(heartbeat, reply);
     }
 
     /** Adds what a scrape should show of this term. */
-    public void addTo(LeaderTermMetrics metrics) {
-        metrics.term(
+    public void reportTo(LeaderTermMetrics metrics) {
+        metrics.reportTerm(
                 fencingToken,
                 recovery.isComplete(),
                 recovery.revision(),
@@ -156,7 +156,7 @@
                 cluster.tasksOfUnknownJobs());
         for (Settings.Team team : dependencies.settings().teams()) {
             String name = team.name();
-            metrics.team(
+            metrics.reportTeam(
                     name, cluster.quotaUsage.bookedBy(name), cluster.quotaUsage.notBookedBy(name), quotas.limit(name));
         }
     }
@@ -164,12 +164,12 @@
     /** Hears what became of writes. */
     private final class RecordWriterEvents implements RecordWriter.Listener {
         @Override
-        public void recorded(Job job) {
+        public void recordWritten(Job job) {
             cycle.wakeForEvent();
         }
 
         @Override
-        public void recordChanged(Job job) {
+        public void jobRecordChanged(Job job) {
             recordReader.rereadJob(job);
         }
 
@@ -184,7 +184,7 @@
         }
 
         @Override
-        public void conditionFailed(Job job, List<Object> keys) {
+        public void conditionsFailed(Job job, List<Object> keys) {
             quotas.preconditionFailed(job, keys);
         }
     }
@@ -192,7 +192,7 @@
     /** Hears what is read of the records. */
     private final class RecordEvents implements RecordReader.Listener {
         @Override
-        public void loaded(int records, long revision) {
+        public void recordsLoaded(int records, long revision) {
             recovery.completed(records, revision);
             cycle.wakeIn(0);
         }
@@ -212,7 +212,7 @@
     private final class AutoscalerTerm implements Autoscaler.Term {
         @Override
         public boolean leaseHolds() {
-            return dependencies.election().leaseHolds();
+            return dependencies.election().isLeaseValid();
         }
 
         @Override
--- a/src/main/java/org/weldcourse/leader/LeaderTermDependencies.java
+++ b/src/main/java/org/weldcourse/leader/LeaderTermDependencies.java
@@ -39,6 +39,6 @@
     /** Tells an outage of the store for all controllers from one that this controller has alone. */
     public interface StoreOutage {
         /** Whether, by the other controllers' own heartbeats, the store serves none of them either. */
-        boolean isShared();
+        boolean affectsAllControllers();
     }
 }
--- a/src/main/java/org/weldcourse/leader/LeaderTermMetrics.java
+++ b/src/main/java/org/weldcourse/leader/LeaderTermMetrics.java
@@ -13,8 +13,8 @@
      * @param outstandingJobs jobs that are over but may still have tasks on machines
      * @param unknownTasks tasks in machines' heartbeats that no booking explains
      */
-    void term(long fencingToken, boolean loaded, long recordsRevision, int outstandingJobs, int unknownTasks);
+    void reportTerm(long fencingToken, boolean loaded, long recordsRevision, int outstandingJobs, int unknownTasks);
 
     /** What counts against a team's quota limit, booked and besides, and the limit. */
-    void team(String team, ResourceAmount booked, ResourceAmount notBooked, ResourceAmount limit);
+    void reportTeam(String team, ResourceAmount booked, ResourceAmount notBooked, ResourceAmount limit);
 }
--- a/src/main/java/org/weldcourse/leader/StandbyWarmUp.java
+++ b/src/main/java/org/weldcourse/leader/StandbyWarmUp.java
@@ -64,7 +64,7 @@
      * @param requests takes the bytes of each HTTP request as if a connection had carried them; it leads to a server
      *     whose handler is this warm-up
      */
-    public void sendThrough(Consumer<byte[]> requests) {
+    public void useConnection(Consumer<byte[]> requests) {
         connection = requests;
     }
 
--- a/src/main/java/org/weldcourse/leader/SyntheticCluster.java
+++ b/src/main/java/org/weldcourse/leader/SyntheticCluster.java
@@ -224,10 +224,10 @@
     /** The cluster lasts one round: nothing follows from the outcome of its writes. */
     private static final class IgnoredWriterEvents implements RecordWriter.Listener {
         @Override
-        public void recorded(Job job) {}
+        public void recordWritten(Job job) {}
 
         @Override
-        public void recordChanged(Job job) {}
+        public void jobRecordChanged(Job job) {}
 
         @Override
         public void fencingTokenSuperseded() {}
--- a/src/main/java/org/weldcourse/persistence/FailoverRecovery.java
+++ b/src/main/java/org/weldcourse/persistence/FailoverRecovery.java
@@ -78,7 +78,7 @@
         int records = admissions.entries().size()
                 + finishedTasks.entries().size()
                 + outstanding.entries().size();
-        listener.loaded(records, admissions.revision());
+        listener.recordsLoaded(records, admissions.revision());
     }
 
     /** What may still be on machines of a job that is over counts and is stopped, as under the leader before. */
--- a/src/main/java/org/weldcourse/persistence/FencedCommits.java
+++ b/src/main/java/org/weldcourse/persistence/FencedCommits.java
@@ -28,7 +28,7 @@
     private boolean ended;
 
     /** What goes into a transaction besides the condition on the fencing token. */
-    public interface Content {
+    public interface TransactionContent {
         /** Adds conditions and changes. */
         void addTo(CompareAndSwap txn);
     }
@@ -77,7 +77,7 @@
     }
 
     /** Writes something that can wait; false when the budget of changes has no room for it now. */
-    boolean writeInBackground(Content content, RetryingCommit.Done done) {
+    boolean writeInBackground(TransactionContent content, RetryingCommit.Done done) {
         if (!mayWriteInBackground()) {
             return false;
         }
--- a/src/main/java/org/weldcourse/persistence/JobCloser.java
+++ b/src/main/java/org/weldcourse/persistence/JobCloser.java
@@ -46,7 +46,7 @@
         if (job.isClosing() || job.isClosed() || job.records().isWriteInFlight()) {
             return;
         }
-        Map<String, Object> outstanding = job.bookings().isEmpty() ? null : OutstandingRecord.of(job, valueBytes);
+        Map<String, Object> outstanding = job.bookings().isEmpty() ? null : OutstandingRecord.encode(job, valueBytes);
         if (outstanding == null && !job.bookings().isEmpty()) {
             // Too large to be kept: the job ends once there is evidence that nothing of it is left.
             return;
@@ -73,7 +73,7 @@
             @Override
             public void refused() {
                 job.closingRefused();
-                listener.recordChanged(job);
+                listener.jobRecordChanged(job);
             }
         });
     }
@@ -82,7 +82,7 @@
         LOG.info("{} is {}", job.spec().id(), state);
         job.markClosed();
         deleteInBackground(rest);
-        listener.recorded(job);
+        listener.recordWritten(job);
     }
 
     /** Deletes records that no open job needs any more. */
--- a/src/main/java/org/weldcourse/persistence/JobRecordCommits.java
+++ b/src/main/java/org/weldcourse/persistence/JobRecordCommits.java
@@ -65,14 +65,14 @@
 
                     @Override
                     public void conditionsFailed(List<Object> keys) {
-                        listener.conditionFailed(job, keys);
+                        listener.conditionsFailed(job, keys);
                     }
 
                     @Override
                     public void refused() {
                         job.records().writeRefused();
                         then.completed(false);
-                        listener.recordChanged(job);
+                        listener.jobRecordChanged(job);
                     }
                 });
     }
--- a/src/main/java/org/weldcourse/persistence/OutstandingRecord.java
+++ b/src/main/java/org/weldcourse/persistence/OutstandingRecord.java
@@ -23,7 +23,7 @@
     private OutstandingRecord() {}
 
     /** The record of a job that ends while some of its tasks are booked, or null when it is larger than can be kept. */
-    public static Map<String, Object> of(Job job, int mostBytes) {
+    public static Map<String, Object> encode(Job job, int mostBytes) {
         AdmittedTasks admitted = new AdmittedTasks();
         job.bookings().forEach(booking -> admitted.add(booking.machine().name, booking.attempt(), booking.task()));
         Map<String, Object> record = JobRecordCodec.encode(job.spec(), 0, job.isCancelled());
--- a/src/main/java/org/weldcourse/persistence/RecordReader.java
+++ b/src/main/java/org/weldcourse/persistence/RecordReader.java
@@ -17,7 +17,7 @@
     /** What the term is told. */
     public interface Listener {
         /** All records were read, so many besides those of open jobs, as of this revision or a later one. */
-        void loaded(int records, long revision);
+        void recordsLoaded(int records, long revision);
 
         /** An open job became known. */
         void jobSeen(JobSpec job);
@@ -43,7 +43,7 @@
     }
 
     /** Nothing that is still under way counts any more. */
-    public void end() {
+    public void stop() {
         openJobs.end();
         recovery.end();
     }
--- a/src/main/java/org/weldcourse/persistence/RecordWriter.java
+++ b/src/main/java/org/weldcourse/persistence/RecordWriter.java
@@ -29,10 +29,10 @@
     /** What the term is told. */
     public interface Listener {
         /** Something is on record that workers or the next cycle may act on. */
-        void recorded(Job job);
+        void recordWritten(Job job);
 
         /** The job's record is not of the revision that was thought: it has to be read again. */
-        void recordChanged(Job job);
+        void jobRecordChanged(Job job);
 
         /** The fencing token is not the term's any more: another leader was elected. */
         void fencingTokenSuperseded();
@@ -41,7 +41,7 @@
         default void addAdmissionConditions(CompareAndSwap admission, Job job) {}
 
         /** A write of the job's records was refused, since these keys are not of the versions that were thought. */
-        default void conditionFailed(Job job, List<Object> keys) {}
+        default void conditionsFailed(Job job, List<Object> keys) {}
     }
 
     /** A writer for the term whose fencing token is of this version. */
@@ -71,12 +71,12 @@
     }
 
     /** Ends with the term: nothing more is written, and no answer counts any more. */
-    public void end() {
+    public void stop() {
         fenced.end();
     }
 
     /** Writes something that can wait; false when the budget of changes has no room for it now. */
-    public boolean writeInBackground(FencedCommits.Content content, RetryingCommit.Done done) {
+    public boolean writeInBackground(FencedCommits.TransactionContent content, RetryingCommit.Done done) {
         return fenced.writeInBackground(content, done);
     }
 
@@ -117,7 +117,7 @@
      * Records the finished tasks of a job that goes on, now and then: its admissions carry them along anyway, and a
      * successor hears of them from the workers too, as long as those were not told to forget them.
      */
-    public void saveDone(Job job) {
+    public void saveFinishedTasks(Job job) {
         if (job.records().isWriteInFlight() || !job.hasUnpersistedDone() || !fenced.mayWriteInBackground()) {
             return;
         }
@@ -127,7 +127,7 @@
         }
         WriteCallback then = onRecord -> {
             if (onRecord) {
-                listener.recorded(job);
+                listener.recordWritten(job);
             }
         };
         if (layout.isInAdmissions(job)) {
--- a/src/test/java/org/weldcourse/election/LeaderElectionTest.java
+++ b/src/test/java/org/weldcourse/election/LeaderElectionTest.java
@@ -33,7 +33,7 @@
                 });
         election.start();
         time.passSeconds(1);
-        assertTrue(election.leads());
+        assertTrue(election.isLeader());
     }
 
     private void answer(Caller.Call call, Caller.Done done) {
@@ -61,13 +61,13 @@
     void renewalsComeAsOftenWhenTheirAnswersAreReadLate() {
         int seen = renewalsIn(20, 900_000);
         assertTrue(seen >= 19, seen + " renewals");
-        assertTrue(election.leaseHolds());
+        assertTrue(election.isLeaseValid());
     }
 
     @Test
     void anAnswerThatIsLaterThanThatIsFollowedAtOnce() {
         int seen = renewalsIn(24, 1_200_000);
         assertTrue(seen >= 19, seen + " renewals");
-        assertTrue(election.leaseHolds());
+        assertTrue(election.isLeaseValid());
     }
 }
--- a/src/test/java/org/weldcourse/leader/StandbyWarmUpTest.java
+++ b/src/test/java/org/weldcourse/leader/StandbyWarmUpTest.java
@@ -51,7 +51,7 @@
     @Test
     void heartbeatsTakeTheWayOfAConnectionWhereThereIsOne() {
         AtomicInteger received = new AtomicInteger();
-        warmUp.sendThrough(request -> received.incrementAndGet());
+        warmUp.useConnection(request -> received.incrementAndGet());
         time.pass(20_000 * 17);
         assertEquals(16, received.get());
     }
--- a/src/test/java/org/weldcourse/workers/StartAuthorizationTest.java
+++ b/src/test/java/org/weldcourse/workers/StartAuthorizationTest.java
@@ -141,8 +141,8 @@
         booked(0);
         booked(2);
         ClusterState next = new ClusterState();
-        Job back =
-                OutstandingRecord.restore(next, Json.objectOrEmpty(Json.bytes(OutstandingRecord.of(job, 10_000))), 5);
+        Job back = OutstandingRecord.restore(
+                next, Json.objectOrEmpty(Json.bytes(OutstandingRecord.encode(job, 10_000))), 5);
         assertEquals(ResourceAmount.of(4, 2), next.quotaUsage.bookedBy(TEAM));
         assertEquals(2, next.machine("m-000001", 5).bookings.size());
         assertTrue(back.isClosed() && back.booking(2).isStopRequested() && back.allDone());
@@ -153,6 +153,6 @@
     @Test
     void aRecordOfWhatIsOutstandingKeepsToTheSizeOfValues() {
         booked(0);
-        assertNull(OutstandingRecord.of(job, 300));
+        assertNull(OutstandingRecord.encode(job, 300));
     }
 }
