--- a/src/main/java/org/weldcourse/election/LeaderElection.java
+++ b/src/main/java/org/weldcourse/election/LeaderElection.java
@@ -6,9 +6,9 @@
 import org.weldcourse.runtime.Clock;
 import org.weldcourse.runtime.ScheduledTask;
 import org.weldcourse.runtime.Timers;
-import org.weldcourse.store.CompareAndSwap;
 import org.weldcourse.store.Store;
 import org.weldcourse.store.Store.Outcome;
+import org.weldcourse.store.Transaction;
 
 /**
  * Leader election over the consensus-backed key-value store, and renewal of the leader's lease. The key {@code leader}
@@ -250,7 +250,7 @@
 
     /** Compare-and-swap: takes the key {@code leader} if it is free and the fencing token is still the one read. */
     private void claimLeadership(long newFencingToken, long lastVersion, long newLeaseId, long sentMicros) {
-        CompareAndSwap txn = new CompareAndSwap()
+        Transaction txn = new Transaction()
                 .ifModRevision(LEADER_KEY, 0)
                 .ifModRevision(FENCING_TOKEN_KEY, lastVersion)
                 .put(LEADER_KEY, Json.of("name", nodeName, "token", newFencingToken), newLeaseId)
--- a/src/main/java/org/weldcourse/fleet/Autoscaler.java
+++ b/src/main/java/org/weldcourse/fleet/Autoscaler.java
@@ -93,7 +93,7 @@
     }
 
     /** What found no room in the last admission cycle, and the idle machines that are reserved all the same. */
-    public void demand(List<CapacityDemand> pending, Set<String> reserved) {
+    public void updateDemand(List<CapacityDemand> pending, Set<String> reserved) {
         demand = pending;
         reservedMachines = reserved;
     }
@@ -131,7 +131,7 @@
             return STEP_MICROS / 2;
         }
         warmPools.dropUnused(nowMicros);
-        if (inventory.isRefreshDue(nowMicros) && calls.tryTake(1)) {
+        if (inventory.isRefreshDue(nowMicros) && calls.tryAcquire(1)) {
             inventory.refresh(nowMicros);
         }
         scaleOut.repeatUnanswered();
--- a/src/main/java/org/weldcourse/fleet/CapacityDemand.java
+++ b/src/main/java/org/weldcourse/fleet/CapacityDemand.java
@@ -9,21 +9,21 @@
  * @param tasks how many tasks wait; of a gang, all that its attempt needs
  * @param runMicros the expected run time of a task
  * @param gapMicros how long a place stays empty between one task and the next
- * @param dueMicros when all of them should be done
- * @param freeByZone of a gang, how many of its places are free, by zone
- * @param takenByZone of a job that has to be spread over zones, how many of its other tasks each zone holds
+ * @param deadlineMicros when all of them should be done
+ * @param freeSlotsByZone of a gang, how many of its places are free, by zone
+ * @param tasksByZone of a job that has to be spread over zones, how many of its other tasks each zone holds
  */
 public record CapacityDemand(
         JobSpec job,
         int tasks,
         long runMicros,
         long gapMicros,
-        long dueMicros,
-        Map<String, Integer> freeByZone,
-        Map<String, Integer> takenByZone) {
+        long deadlineMicros,
+        Map<String, Integer> freeSlotsByZone,
+        Map<String, Integer> tasksByZone) {
     /** Demand of tasks that may go anywhere and follow one another without a gap. */
-    public CapacityDemand(JobSpec job, int tasks, long runMicros, long dueMicros) {
-        this(job, tasks, runMicros, 0, dueMicros, Map.of(), Map.of());
+    public CapacityDemand(JobSpec job, int tasks, long runMicros, long deadlineMicros) {
+        this(job, tasks, runMicros, 0, deadlineMicros, Map.of(), Map.of());
     }
 
     /** How long a machine of this type fetches the job's image, in microseconds. */
--- a/src/main/java/org/weldcourse/fleet/CloudClient.java
+++ b/src/main/java/org/weldcourse/fleet/CloudClient.java
@@ -59,7 +59,7 @@
     /**
      * What came of a launch request: the names of the machines launched, fewer than asked for where capacity ran out.
      */
-    public record Launch(Outcome outcome, List<String> machines) {}
+    public record LaunchResult(Outcome outcome, List<String> machines) {}
 
     /** The list of machines; empty unless the outcome is {@link Outcome#OK}. */
     public record MachineList(Outcome outcome, List<ListedMachine> machines) {}
@@ -85,13 +85,13 @@
      * Launches up to {@code count} machines ({@value #MAX_MACHINES_PER_LAUNCH} at most). The request is idempotent:
      * sent again under the same id it launches nothing more, so that the id must never be used for another request.
      */
-    public void launch(String requestId, Offering offering, int count, Consumer<Launch> then) {
+    public void launch(String requestId, Offering offering, int count, Consumer<LaunchResult> then) {
         send(
                 "POST",
                 CloudCodec.LAUNCH_PATH,
                 CloudCodec.launchRequest(requestId, offering, count),
                 answer -> then.accept(
-                        new Launch(CloudCodec.outcome(answer), CloudCodec.launchedMachines(answer.body()))));
+                        new LaunchResult(CloudCodec.outcome(answer), CloudCodec.launchedMachines(answer.body()))));
     }
 
     /**
--- a/src/main/java/org/weldcourse/fleet/HostCapacity.java
+++ b/src/main/java/org/weldcourse/fleet/HostCapacity.java
@@ -5,9 +5,9 @@
  *
  * @param booting it is not up yet, and so holds no image
  * @param availableAtMicros from when it can take work
- * @param busyCpuMicros the work that is left of tasks on it, in CPU-microseconds, replicas of services left out
- * @param heldCpus CPUs that replicas of services hold for good
- * @param takenShares by the ordinal of a pending job's priority, the part (0 to 1) of the machine that work of higher
+ * @param remainingCpuMicros the work that is left of tasks on it, in CPU-microseconds, replicas of services left out
+ * @param serviceCpus CPUs that replicas of services hold for good
+ * @param higherPriorityShares by the ordinal of a pending job's priority, the part (0 to 1) of the machine that work of higher
  *     priority is likely to take
  */
 public record HostCapacity(
@@ -16,6 +16,6 @@
         boolean spot,
         boolean booting,
         long availableAtMicros,
-        double busyCpuMicros,
-        double heldCpus,
-        double[] takenShares) {}
+        double remainingCpuMicros,
+        double serviceCpus,
+        double[] higherPriorityShares) {}
--- a/src/main/java/org/weldcourse/fleet/HostSupply.java
+++ b/src/main/java/org/weldcourse/fleet/HostSupply.java
@@ -16,9 +16,9 @@
     /** All that the host has to give. Only one that is booting has slots: on others the admission found none. */
     HostSupply(HostCapacity host) {
         this.host = host;
-        this.heldCpus = host.heldCpus();
+        this.heldCpus = host.serviceCpus();
         this.slotCpus = host.booting() ? host.type().cpus() : 0;
-        this.usedCpuMicros = host.busyCpuMicros();
+        this.usedCpuMicros = host.remainingCpuMicros();
     }
 
     String zone() {
@@ -66,7 +66,7 @@
         }
         double whole = EFFICIENCY
                 * Math.max(0, 1 - heldCpus / host.type().cpus())
-                * (1 - host.takenShares()[demand.job().priority().ordinal()])
+                * (1 - host.higherPriorityShares()[demand.job().priority().ordinal()])
                 * host.type().tasksThatFit(demand.job())
                 * demand.job().cpus()
                 * runs
--- a/src/main/java/org/weldcourse/fleet/MachineTypeCatalog.java
+++ b/src/main/java/org/weldcourse/fleet/MachineTypeCatalog.java
@@ -7,8 +7,8 @@
 import org.weldcourse.runtime.Clock;
 import org.weldcourse.runtime.ScheduledTask;
 import org.weldcourse.runtime.Timers;
-import org.weldcourse.store.CompareAndSwap;
 import org.weldcourse.store.Store;
+import org.weldcourse.store.Transaction;
 
 /**
  * Keeps the machine types at hand on every node: from the record in the state service, so that a cloud outage
@@ -103,7 +103,7 @@
 
     /** Only nodes without a record and the leader ask the cloud, so this is seldom written. */
     private void writeRecord(Map<String, Object> body) {
-        store.commit(new CompareAndSwap().put(KEY, body), commit -> {});
+        store.commit(new Transaction().put(KEY, body), commit -> {});
     }
 
     private void refreshAgainIn(long delayMicros) {
--- a/src/main/java/org/weldcourse/fleet/ScaleIn.java
+++ b/src/main/java/org/weldcourse/fleet/ScaleIn.java
@@ -55,7 +55,7 @@
             return;
         }
         List<String> names = choose(reserved, nowMicros);
-        if (names.isEmpty() || !calls.tryTake(1)) {
+        if (names.isEmpty() || !calls.tryAcquire(1)) {
             return;
         }
         requestInFlight = true;
--- a/src/main/java/org/weldcourse/fleet/ScaleOut.java
+++ b/src/main/java/org/weldcourse/fleet/ScaleOut.java
@@ -76,7 +76,7 @@
      * Sends requests again that got no answer: they may have been carried out, and the same id launches nothing twice.
      */
     void repeatUnanswered() {
-        while (!unanswered.isEmpty() && calls.tryTake(1)) {
+        while (!unanswered.isEmpty() && calls.tryAcquire(1)) {
             launch(unanswered.poll());
         }
     }
@@ -94,7 +94,7 @@
         List<ScaleOutRequest> plan = ScaleOutPlanner.plan(
                 demand, hosts(nowMicros), types.known(), backoffUntilMicros.keySet(), MAX_MACHINES_PER_PLAN, nowMicros);
         for (ScaleOutRequest planned : plan) {
-            if (calls.tryTake(1)) {
+            if (calls.tryAcquire(1)) {
                 launch(new LaunchRequest(
                         nextRequestId(),
                         planned.offering(),
--- a/src/main/java/org/weldcourse/fleet/ScaleOutPlanner.java
+++ b/src/main/java/org/weldcourse/fleet/ScaleOutPlanner.java
@@ -93,8 +93,8 @@
             launchForSlots(demand, best::equals);
         } else {
             // What is on its way suffices, but it is spoken for now: the next gang must not count on it too.
-            int wanted = demand.tasks() - demand.freeByZone().getOrDefault(best, 0);
-            takeSlots(demand, best::equals, wanted, new HashMap<>(demand.takenByZone()));
+            int wanted = demand.tasks() - demand.freeSlotsByZone().getOrDefault(best, 0);
+            takeSlots(demand, best::equals, wanted, new HashMap<>(demand.tasksByZone()));
         }
     }
 
@@ -103,7 +103,7 @@
      * had.
      */
     private double costOfMissingSlots(CapacityDemand demand, String zone) {
-        int missing = demand.tasks() - demand.freeByZone().getOrDefault(zone, 0);
+        int missing = demand.tasks() - demand.freeSlotsByZone().getOrDefault(zone, 0);
         for (HostSupply supply : supplies) {
             if (zone.equals(supply.zone())) {
                 missing -= supply.slots(demand);
@@ -120,7 +120,7 @@
     }
 
     private void launchForSlots(CapacityDemand demand, Predicate<String> inZone) {
-        Map<String, Integer> takenByZone = new HashMap<>(demand.takenByZone());
+        Map<String, Integer> takenByZone = new HashMap<>(demand.tasksByZone());
         int left = takeSlots(demand, inZone, demand.tasks(), takenByZone);
         while (left > 0 && launches.size() < maxMachines) {
             // A zone that may hold no more of a spread job would be launched in for ever.
@@ -152,7 +152,7 @@
         String jobClass = demand.job().jobClass();
         double left =
                 (double) demand.tasks() * demand.runMicros() * demand.job().cpus();
-        long dueMicros = Math.max(demand.dueMicros(), candidates.soonestMicros(demand));
+        long dueMicros = Math.max(demand.deadlineMicros(), candidates.soonestMicros(demand));
         for (HostSupply supply : supplies) {
             left -= supply.takeWork(demand, left, dueMicros);
         }
--- a/src/main/java/org/weldcourse/jobs/AcceptedJob.java
+++ b/src/main/java/org/weldcourse/jobs/AcceptedJob.java
@@ -5,7 +5,7 @@
 import org.weldcourse.http.Json;
 import org.weldcourse.quota.ledger.Reservation;
 import org.weldcourse.quota.ledger.SubmissionQuota.Grant;
-import org.weldcourse.store.CompareAndSwap;
+import org.weldcourse.store.Transaction;
 
 /** A job on its way into the store; {@code grant} is null where there are no reservations. */
 record AcceptedJob(JobSpec spec, Grant grant, long acceptedWallMicros) {
@@ -41,8 +41,8 @@
     }
 
     /** Puts the job's record, unless the job was ever accepted or its reservation's budget was taken back. */
-    CompareAndSwap write() {
-        CompareAndSwap txn = new CompareAndSwap()
+    Transaction write() {
+        Transaction txn = new Transaction()
                 .ifModRevision(StoreKeys.openJob(id()), 0)
                 .ifModRevision(StoreKeys.finalState(id()), 0);
         if (hasReservation()) {
--- a/src/main/java/org/weldcourse/jobs/JobCancellation.java
+++ b/src/main/java/org/weldcourse/jobs/JobCancellation.java
@@ -5,10 +5,10 @@
 import org.slf4j.LoggerFactory;
 import org.weldcourse.http.Json;
 import org.weldcourse.http.Server.Reply;
-import org.weldcourse.store.CompareAndSwap;
 import org.weldcourse.store.Store;
 import org.weldcourse.store.Store.Entry;
 import org.weldcourse.store.Store.Outcome;
+import org.weldcourse.store.Transaction;
 
 /**
  * Cancels a job by a compare-and-swap on its record, which the leader learns of by its watch. The request is idempotent: a
@@ -54,7 +54,7 @@
             // Accepted under larger limits: what places its tasks is not needed any more.
             JobRecordCodec.shorten(record);
         }
-        CompareAndSwap txn = new CompareAndSwap()
+        Transaction txn = new Transaction()
                 .ifModRevision(StoreKeys.openJob(id), openJob.modRevision())
                 .put(StoreKeys.openJob(id), record);
         store.commit(txn, commit -> {
--- a/src/main/java/org/weldcourse/leader/AdmissionCycle.java
+++ b/src/main/java/org/weldcourse/leader/AdmissionCycle.java
@@ -139,7 +139,7 @@
             admit(cluster.jobs.get(admission.job()), admission.tasks(), nowMicros);
         }
         countAndLogWaiting(decisions.pending());
-        autoscaler.demand(demandEstimator.demand(decisions.pending()), decisions.reservedMachines());
+        autoscaler.updateDemand(demandEstimator.demand(decisions.pending()), decisions.reservedMachines());
         quotas.cycleEnded(decisions.pending(), nowMicros);
     }
 
--- a/src/main/java/org/weldcourse/leader/LeaderTerm.java
+++ b/src/main/java/org/weldcourse/leader/LeaderTerm.java
@@ -13,7 +13,7 @@
 import org.weldcourse.quota.enforcement.SettingsQuotaEnforcement;
 import org.weldcourse.runtime.Timers;
 import org.weldcourse.settings.Settings;
-import org.weldcourse.store.CompareAndSwap;
+import org.weldcourse.store.Transaction;
 import org.weldcourse.workers.CommandSelector;
 import org.weldcourse.workers.Heartbeat;
 import org.weldcourse.workers.Reconciler;
@@ -179,7 +179,7 @@
         }
 
         @Override
-        public void addAdmissionConditions(CompareAndSwap admission, Job job) {
+        public void addAdmissionConditions(Transaction admission, Job job) {
             quotas.addPreconditions(admission, job);
         }
 
--- a/src/main/java/org/weldcourse/persistence/AdmissionRecords.java
+++ b/src/main/java/org/weldcourse/persistence/AdmissionRecords.java
@@ -9,7 +9,7 @@
 import org.weldcourse.jobs.AdmissionRecordCodec;
 import org.weldcourse.jobs.AdmittedTasks;
 import org.weldcourse.jobs.StoreKeys;
-import org.weldcourse.store.CompareAndSwap;
+import org.weldcourse.store.Transaction;
 
 /**
  * The records of what is admitted of a job. A large admission is spread over several, each of a size that the store allows;
@@ -32,7 +32,7 @@
      * Writes an admission in this commit, which may hold conditions of its own. It goes into a record that the job has
      * already, along with what is finished, as long as it fits: changes are dear, their size is not.
      */
-    void admit(Job job, int attempt, List<Booking> booked, CompareAndSwap txn, RecordWriter.WriteCallback then) {
+    void admit(Job job, int attempt, List<Booking> booked, Transaction txn, RecordWriter.WriteCallback then) {
         Map<String, AdmittedTasks> writes = new LinkedHashMap<>();
         for (String key : job.records().keys()) {
             if (key.startsWith(StoreKeys.ADMISSIONS)) {
@@ -103,8 +103,7 @@
         return standing;
     }
 
-    private void write(
-            Job job, CompareAndSwap txn, Map<String, AdmittedTasks> writes, RecordWriter.WriteCallback then) {
+    private void write(Job job, Transaction txn, Map<String, AdmittedTasks> writes, RecordWriter.WriteCallback then) {
         BitSet done = layout.isInAdmissions(job) ? job.doneTasks() : null;
         int writeNumber = job.records().nextWriteNumber();
         Map<String, Map<String, Object>> records = new LinkedHashMap<>();
--- a/src/main/java/org/weldcourse/persistence/ConfirmedCommits.java
+++ b/src/main/java/org/weldcourse/persistence/ConfirmedCommits.java
@@ -5,9 +5,9 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.weldcourse.runtime.Timers;
-import org.weldcourse.store.CompareAndSwap;
 import org.weldcourse.store.Store;
 import org.weldcourse.store.Store.Outcome;
+import org.weldcourse.store.Transaction;
 
 /**
  * Fenced commits of records, each of whose fate becomes certain: where no answer tells it, one of the records is read back
@@ -48,7 +48,7 @@
      * @param key one of the keys that the commit writes
      * @param isOurs whether what is read back under that key was written by this commit
      */
-    void send(String jobId, CompareAndSwap txn, String key, Predicate<Store.Entry> isOurs, Result result) {
+    void send(String jobId, Transaction txn, String key, Predicate<Store.Entry> isOurs, Result result) {
         commits.send(txn, (commit, afterUnansweredAttempt) -> {
             if (commit.outcome() == Outcome.OK) {
                 result.written(commit.revision());
--- a/src/main/java/org/weldcourse/persistence/FencedCommits.java
+++ b/src/main/java/org/weldcourse/persistence/FencedCommits.java
@@ -3,11 +3,11 @@
 import org.weldcourse.runtime.Clock;
 import org.weldcourse.runtime.Timers;
 import org.weldcourse.settings.Settings;
-import org.weldcourse.store.CompareAndSwap;
 import org.weldcourse.store.RateLimiter;
 import org.weldcourse.store.RetryingCommit;
 import org.weldcourse.store.Store;
 import org.weldcourse.store.Store.Outcome;
+import org.weldcourse.store.Transaction;
 
 /** A leader's writes: each is fenced by the token of its term, and together they keep to a part of the budget of changes. */
 final class FencedCommits {
@@ -30,7 +30,7 @@
     /** What goes into a transaction besides the condition on the fencing token. */
     public interface TransactionContent {
         /** Adds conditions and changes. */
-        void addTo(CompareAndSwap txn);
+        void addTo(Transaction txn);
     }
 
     /** {@code superseded} runs when the condition on the fencing token failed. */
@@ -60,13 +60,13 @@
     }
 
     /** A transaction that is carried out only while no other leader was elected. */
-    CompareAndSwap fenced() {
-        return new CompareAndSwap().ifModRevision(FENCING_TOKEN_KEY, fencingTokenVersion);
+    Transaction fenced() {
+        return new Transaction().ifModRevision(FENCING_TOKEN_KEY, fencingTokenVersion);
     }
 
     /** Sends a transaction until its fate is certain. */
-    void send(CompareAndSwap txn, RetryingCommit.Done done) {
-        pacer.spend(txn.operationCount());
+    void send(Transaction txn, RetryingCommit.Callback done) {
+        pacer.consume(txn.operationCount());
         RetryingCommit.send(store, timers, txn, () -> !ended, (commit, unclear) -> {
             if (commit.outcome() == Outcome.REFUSED && commit.failed().contains(FENCING_TOKEN_KEY)) {
                 superseded.run();
@@ -77,11 +77,11 @@
     }
 
     /** Writes something that can wait; false when the budget of changes has no room for it now. */
-    boolean writeInBackground(TransactionContent content, RetryingCommit.Done done) {
+    boolean writeInBackground(TransactionContent content, RetryingCommit.Callback done) {
         if (!mayWriteInBackground()) {
             return false;
         }
-        CompareAndSwap txn = fenced();
+        Transaction txn = fenced();
         content.addTo(txn);
         send(txn, done);
         return true;
@@ -89,7 +89,7 @@
 
     /** Admissions and endings come first: bookkeeping has to leave some of the budget. */
     boolean mayWriteInBackground() {
-        return pacer.tryTakeOneLeaving(writesPerSecond * LEFT_BY_BACKGROUND);
+        return pacer.tryAcquireAboveReserve(writesPerSecond * LEFT_BY_BACKGROUND);
     }
 
     /** How many changes the budget has room for now. */
--- a/src/main/java/org/weldcourse/persistence/FinishedTaskShards.java
+++ b/src/main/java/org/weldcourse/persistence/FinishedTaskShards.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import org.weldcourse.cluster.Job;
 import org.weldcourse.jobs.FinishedTasksCodec;
-import org.weldcourse.store.CompareAndSwap;
+import org.weldcourse.store.Transaction;
 
 /** The records of the finished tasks of a job that is too large to keep them in its admissions. */
 final class FinishedTaskShards {
@@ -25,7 +25,7 @@
     void save(Job job, RecordWriter.WriteCallback then) {
         BitSet saving = job.doneTasks();
         int writeNumber = job.records().nextWriteNumber();
-        CompareAndSwap txn = fenced.fenced();
+        Transaction txn = fenced.fenced();
         Map<String, Map<String, Object>> records = new LinkedHashMap<>();
         int shardTasks = layout.shardTasks();
         for (int shard = 0; shard * shardTasks < job.spec().tasks(); shard++) {
--- a/src/main/java/org/weldcourse/persistence/JobCloser.java
+++ b/src/main/java/org/weldcourse/persistence/JobCloser.java
@@ -10,7 +10,7 @@
 import org.weldcourse.jobs.StoreKeys;
 import org.weldcourse.runtime.Timers;
 import org.weldcourse.settings.Settings;
-import org.weldcourse.store.CompareAndSwap;
+import org.weldcourse.store.Transaction;
 
 /** Moves jobs that are over to their final records, and deletes what else is on record of them in quieter times. */
 final class JobCloser {
@@ -54,7 +54,7 @@
         job.beginClosing();
         String id = job.spec().id();
         String state = job.isCancelled() ? "cancelled" : "done";
-        CompareAndSwap txn = fenced.fenced()
+        Transaction txn = fenced.fenced()
                 .ifModRevision(StoreKeys.openJob(id), job.records().jobRevision())
                 .delete(StoreKeys.openJob(id))
                 .put(StoreKeys.finalState(id), FinalStateCodec.encode(job.isCancelled(), job.doneCount()));
@@ -95,7 +95,7 @@
             return;
         }
         int some = Math.min(keys.size(), Math.max(1, txnOps / 2));
-        CompareAndSwap txn = fenced.fenced();
+        Transaction txn = fenced.fenced();
         keys.subList(0, some).forEach(txn::delete);
         List<String> rest = new ArrayList<>(keys.subList(some, keys.size()));
         fenced.send(txn, (commit, unclear) -> deleteInBackground(rest));
--- a/src/main/java/org/weldcourse/persistence/JobRecordCommits.java
+++ b/src/main/java/org/weldcourse/persistence/JobRecordCommits.java
@@ -8,9 +8,9 @@
 import org.weldcourse.jobs.StoreKeys;
 import org.weldcourse.runtime.Clock;
 import org.weldcourse.runtime.Timers;
-import org.weldcourse.store.CompareAndSwap;
 import org.weldcourse.store.Store;
 import org.weldcourse.store.Store.Outcome;
+import org.weldcourse.store.Transaction;
 
 /** Writes a job's records, one commit at a time, and keeps their revisions. */
 final class JobRecordCommits {
@@ -43,7 +43,7 @@
      */
     void commit(
             Job job,
-            CompareAndSwap txn,
+            Transaction txn,
             Map<String, Map<String, Object>> records,
             int writeNumber,
             RecordWriter.WriteCallback then) {
--- a/src/main/java/org/weldcourse/persistence/RecordWriter.java
+++ b/src/main/java/org/weldcourse/persistence/RecordWriter.java
@@ -6,9 +6,9 @@
 import org.weldcourse.runtime.Clock;
 import org.weldcourse.runtime.Timers;
 import org.weldcourse.settings.Settings;
-import org.weldcourse.store.CompareAndSwap;
 import org.weldcourse.store.RetryingCommit;
 import org.weldcourse.store.Store;
+import org.weldcourse.store.Transaction;
 
 /**
  * Puts a leader's decisions on record: admissions, finished tasks and the ends of jobs. Every commit is fenced by the token
@@ -38,7 +38,7 @@
         void fencingTokenSuperseded();
 
         /** Adds what has to hold, besides job and fencing token, when the job is admitted. */
-        default void addAdmissionConditions(CompareAndSwap admission, Job job) {}
+        default void addAdmissionConditions(Transaction admission, Job job) {}
 
         /** A write of the job's records was refused, since these keys are not of the versions that were thought. */
         default void conditionsFailed(Job job, List<Object> keys) {}
@@ -76,7 +76,7 @@
     }
 
     /** Writes something that can wait; false when the budget of changes has no room for it now. */
-    public boolean writeInBackground(FencedCommits.TransactionContent content, RetryingCommit.Done done) {
+    public boolean writeInBackground(FencedCommits.TransactionContent content, RetryingCommit.Callback done) {
         return fenced.writeInBackground(content, done);
     }
 
@@ -108,7 +108,7 @@
             then.completed(false);
             return;
         }
-        CompareAndSwap txn = fenced.fenced();
+        Transaction txn = fenced.fenced();
         listener.addAdmissionConditions(txn, job);
         admissions.admit(job, attempt, booked, txn, then);
     }
--- a/src/main/java/org/weldcourse/quota/enforcement/LedgerQuotaEnforcement.java
+++ b/src/main/java/org/weldcourse/quota/enforcement/LedgerQuotaEnforcement.java
@@ -17,7 +17,7 @@
 import org.weldcourse.quota.ledger.Reservation;
 import org.weldcourse.runtime.Timers;
 import org.weldcourse.settings.Settings;
-import org.weldcourse.store.CompareAndSwap;
+import org.weldcourse.store.Transaction;
 
 /**
  * The quota of the ledger, as the leader enforces it. Each admission is written on the versions of the records that it
@@ -132,7 +132,7 @@
     }
 
     @Override
-    public void addPreconditions(CompareAndSwap admission, Job job) {
+    public void addPreconditions(Transaction admission, Job job) {
         String team = job.spec().team();
         EffectiveQuota quota = ledger.quota(team);
         if (quota == null) {
--- a/src/main/java/org/weldcourse/quota/enforcement/QuotaEnforcement.java
+++ b/src/main/java/org/weldcourse/quota/enforcement/QuotaEnforcement.java
@@ -7,7 +7,7 @@
 import org.weldcourse.cluster.Job;
 import org.weldcourse.cluster.Snapshot.TeamView;
 import org.weldcourse.quota.ResourceAmount;
-import org.weldcourse.store.CompareAndSwap;
+import org.weldcourse.store.Transaction;
 import org.weldcourse.workers.StartAuthorization;
 
 /**
@@ -26,7 +26,7 @@
     int reservedTasks(Job job);
 
     /** Adds to the write of an admission the conditions under which the team's quota allows it. */
-    void addPreconditions(CompareAndSwap admission, Job job);
+    void addPreconditions(Transaction admission, Job job);
 
     /** An admission of the job was refused, since the condition on each of these keys did not hold. */
     void preconditionFailed(Job job, List<Object> keys);
--- a/src/main/java/org/weldcourse/quota/enforcement/QuotaSeeder.java
+++ b/src/main/java/org/weldcourse/quota/enforcement/QuotaSeeder.java
@@ -9,7 +9,7 @@
 import org.weldcourse.quota.ledger.QuotaRecordCodec;
 import org.weldcourse.quota.ledger.TeamQuota;
 import org.weldcourse.settings.Settings;
-import org.weldcourse.store.CompareAndSwap;
+import org.weldcourse.store.Transaction;
 
 /** Puts the quota of the leader's settings on record for teams that have no record. */
 final class QuotaSeeder {
@@ -48,7 +48,7 @@
         }
     }
 
-    private static void addNew(CompareAndSwap txn, TeamQuota quota) {
+    private static void addNew(Transaction txn, TeamQuota quota) {
         String key = QuotaRecordCodec.teamKey(quota.name());
         txn.ifModRevision(key, 0).put(key, QuotaRecordCodec.value(quota));
     }
--- a/src/main/java/org/weldcourse/quota/enforcement/SettingsQuotaEnforcement.java
+++ b/src/main/java/org/weldcourse/quota/enforcement/SettingsQuotaEnforcement.java
@@ -12,7 +12,7 @@
 import org.weldcourse.quota.QuotaInvariant;
 import org.weldcourse.quota.ResourceAmount;
 import org.weldcourse.settings.Settings;
-import org.weldcourse.store.CompareAndSwap;
+import org.weldcourse.store.Transaction;
 
 /** The limits of this node's settings, which never change while it runs; only the leader counts against them. */
 public final class SettingsQuotaEnforcement implements QuotaEnforcement {
@@ -47,7 +47,7 @@
     }
 
     @Override
-    public void addPreconditions(CompareAndSwap admission, Job job) {}
+    public void addPreconditions(Transaction admission, Job job) {}
 
     @Override
     public void preconditionFailed(Job job, List<Object> keys) {}
--- a/src/main/java/org/weldcourse/quota/ledger/CohortQuotaEdit.java
+++ b/src/main/java/org/weldcourse/quota/ledger/CohortQuotaEdit.java
@@ -1,7 +1,7 @@
 package org.weldcourse.quota.ledger;
 
 import java.util.Locale;
-import org.weldcourse.store.CompareAndSwap;
+import org.weldcourse.store.Transaction;
 
 /** A change of a cohort's record, which is created where there is none. */
 record CohortQuotaEdit(String name, QuotaChange change) implements QuotaEdit<CohortQuota> {
@@ -30,10 +30,10 @@
     }
 
     @Override
-    public CompareAndSwap transaction(LedgerContents contents) {
+    public Transaction transaction(LedgerContents contents) {
         CohortQuota changed = changed(contents);
         String key = QuotaRecordCodec.cohortKey(name);
-        return new CompareAndSwap().ifModRevision(key, changed.version()).put(key, QuotaRecordCodec.value(changed));
+        return new Transaction().ifModRevision(key, changed.version()).put(key, QuotaRecordCodec.value(changed));
     }
 
     @Override
--- a/src/main/java/org/weldcourse/quota/ledger/QuotaEdit.java
+++ b/src/main/java/org/weldcourse/quota/ledger/QuotaEdit.java
@@ -1,6 +1,6 @@
 package org.weldcourse.quota.ledger;
 
-import org.weldcourse.store.CompareAndSwap;
+import org.weldcourse.store.Transaction;
 
 /**
  * An operator's change of one record, worked out anew on whatever the ledger holds when it is tried. The terms of a record
@@ -20,7 +20,7 @@
     void check(LedgerContents contents) throws QuotaLedgerException;
 
     /** The one write that makes the change. */
-    CompareAndSwap transaction(LedgerContents contents);
+    Transaction transaction(LedgerContents contents);
 
     /** The terms in the words that the command has always printed them in. */
     String describe(T terms);
--- a/src/main/java/org/weldcourse/quota/ledger/TeamQuotaEdit.java
+++ b/src/main/java/org/weldcourse/quota/ledger/TeamQuotaEdit.java
@@ -5,7 +5,7 @@
 import org.weldcourse.quota.ResourceAmount;
 import org.weldcourse.quota.ledger.QuotaLedgerException.Reason;
 import org.weldcourse.settings.Settings;
-import org.weldcourse.store.CompareAndSwap;
+import org.weldcourse.store.Transaction;
 
 /** A change of a team's record; a team without one begins with its settings. */
 record TeamQuotaEdit(Settings.Team settings, QuotaChange change) implements QuotaEdit<TeamQuota> {
@@ -57,11 +57,11 @@
 
     /** Writes the cohort's record too, unchanged, so that of two changes that are sound alone only one succeeds. */
     @Override
-    public CompareAndSwap transaction(LedgerContents contents) {
+    public Transaction transaction(LedgerContents contents) {
         TeamQuota changed = changed(contents);
         String key = QuotaRecordCodec.teamKey(changed.name());
-        CompareAndSwap txn =
-                new CompareAndSwap().ifModRevision(key, changed.version()).put(key, QuotaRecordCodec.value(changed));
+        Transaction txn =
+                new Transaction().ifModRevision(key, changed.version()).put(key, QuotaRecordCodec.value(changed));
         if (changed.cohort() != null) {
             CohortQuota cohort = contents.cohorts().get(changed.cohort());
             String cohortKey = QuotaRecordCodec.cohortKey(cohort.name());
--- a/src/main/java/org/weldcourse/store/RateLimiter.java
+++ b/src/main/java/org/weldcourse/store/RateLimiter.java
@@ -4,7 +4,7 @@
 
 /**
  * A token bucket of permits that refills at a steady rate: background work takes permits from it, urgent work need
- * not ask but {@link #spend spends} what it used. Not thread-safe: used on the event loop only.
+ * not ask but {@link #consume consumes} what it used. Not thread-safe: used on the event loop only.
  */
 public final class RateLimiter {
     private final Clock clock;
@@ -26,7 +26,7 @@
      * Takes permits if there are enough; a request for more than the capacity needs a full bucket, so that it is not
      * refused for ever.
      */
-    public boolean tryTake(int requested) {
+    public boolean tryAcquire(int requested) {
         refill();
         if (permits < Math.min(requested, capacity)) {
             return false;
@@ -36,7 +36,7 @@
     }
 
     /** Takes one permit only if at least {@code reserve} would be left: for what can wait until there is plenty. */
-    public boolean tryTakeOneLeaving(double reserve) {
+    public boolean tryAcquireAboveReserve(double reserve) {
         refill();
         if (permits < reserve + 1) {
             return false;
@@ -52,7 +52,7 @@
     }
 
     /** Spends permits that were used without asking; the bucket may go below empty and refills from there. */
-    public void spend(int used) {
+    public void consume(int used) {
         refill();
         permits -= used;
     }
--- a/src/main/java/org/weldcourse/store/RetryingCommit.java
+++ b/src/main/java/org/weldcourse/store/RetryingCommit.java
@@ -14,13 +14,13 @@
 
     private final Store store;
     private final Timers timers;
-    private final CompareAndSwap txn;
+    private final Transaction txn;
     private final BooleanSupplier awaited;
-    private final Done done;
+    private final Callback done;
     private boolean afterUnansweredAttempt;
 
     /** Told the definite answer. */
-    public interface Done {
+    public interface Callback {
         /**
          * {@code afterUnansweredAttempt}: an earlier attempt had no answer, so that a {@link Outcome#REFUSED} may be the
          * effect of that attempt having been applied, and the keys should be read back.
@@ -28,7 +28,7 @@
         void accept(Store.Commit commit, boolean afterUnansweredAttempt);
     }
 
-    private RetryingCommit(Store store, Timers timers, CompareAndSwap txn, BooleanSupplier awaited, Done done) {
+    private RetryingCommit(Store store, Timers timers, Transaction txn, BooleanSupplier awaited, Callback done) {
         this.store = store;
         this.timers = timers;
         this.txn = txn;
@@ -40,7 +40,7 @@
      * Sends a compare-and-swap until its answer is definite, and tells {@code done} unless {@code awaited} has turned
      * false meanwhile (nobody waits for the result any more; then no further attempt is made).
      */
-    public static void send(Store store, Timers timers, CompareAndSwap txn, BooleanSupplier awaited, Done done) {
+    public static void send(Store store, Timers timers, Transaction txn, BooleanSupplier awaited, Callback done) {
         new RetryingCommit(store, timers, txn, awaited, done).attempt();
     }
 
--- a/src/main/java/org/weldcourse/store/Store.java
+++ b/src/main/java/org/weldcourse/store/Store.java
@@ -19,7 +19,7 @@
     private final Clock clock;
     private final String address;
     private long failingSinceMicros = -1;
-    private long answeredMicros;
+    private long lastResponseMicros;
 
     /** The state service at {@code host:port}. */
     public Store(Caller caller, Clock clock, String address) {
@@ -83,8 +83,8 @@
     }
 
     /** When a request last came to an end, with an answer or without (0: none yet). */
-    public long answeredMicros() {
-        return answeredMicros;
+    public long lastResponseMicros() {
+        return lastResponseMicros;
     }
 
     /** Reads one key; the entry is null unless the outcome is {@link Outcome#OK} (404: {@link Outcome#REFUSED}). */
@@ -124,7 +124,7 @@
     }
 
     /** Sends a compare-and-swap once; see {@link RetryingCommit} for one that settles an {@link Outcome#UNKNOWN}. */
-    public void commit(CompareAndSwap txn, Consumer<Commit> then) {
+    public void commit(Transaction txn, Consumer<Commit> then) {
         send(
                 "POST",
                 StoreCodec.COMMIT_PATH,
@@ -202,7 +202,7 @@
     private void send(Caller.Call call, Caller.Done done) {
         caller.call(call, answer -> {
             int status = answer.status();
-            answeredMicros = clock.nowMicros();
+            lastResponseMicros = clock.nowMicros();
             if (status > 0 && status != 503) {
                 failingSinceMicros = -1;
             } else if (failingSinceMicros < 0) {
--- a/src/main/java/org/weldcourse/store/CompareAndSwap.java
+++ b/src/main/java/org/weldcourse/store/Transaction.java
@@ -9,18 +9,18 @@
  * A compare-and-swap on the state service, in the making: its puts and deletes are applied together, at one revision,
  * only if every compared key still has the expected mod revision. Without puts or deletes it only compares.
  */
-public final class CompareAndSwap {
+public final class Transaction {
     private final List<Object> compares = new ArrayList<>();
     private final List<Object> operations = new ArrayList<>();
 
     /** Requires that the key's mod revision is this one; 0: that the key does not exist. */
-    public CompareAndSwap ifModRevision(String key, long modRevision) {
+    public Transaction ifModRevision(String key, long modRevision) {
         compares.add(Json.of("path", key, "mark", modRevision));
         return this;
     }
 
     /** Writes a value and detaches the key from any lease. */
-    public CompareAndSwap put(String key, Object value) {
+    public Transaction put(String key, Object value) {
         operations.add(Json.of("write", key, "value", value));
         return this;
     }
@@ -29,13 +29,13 @@
      * Writes a value and attaches the key to a lease; if the lease has expired, the whole request is refused as
      * {@link Store.Outcome#INVALID}.
      */
-    public CompareAndSwap put(String key, Object value, long leaseId) {
+    public Transaction put(String key, Object value, long leaseId) {
         operations.add(Json.of("write", key, "value", value, "permit", leaseId));
         return this;
     }
 
     /** Deletes a key. */
-    public CompareAndSwap delete(String key) {
+    public Transaction delete(String key) {
         operations.add(Json.of("delete", key));
         return this;
     }
