--- a/src/main/java/org/weldcourse/admission/AdmissionQueues.java
+++ b/src/main/java/org/weldcourse/admission/AdmissionQueues.java
@@ -36,7 +36,7 @@
             largest.merge(job.spec().jobClass(), job.spec().tasks(), Math::max);
         }
         List<Queued> ordered = new ArrayList<>(jobs.size());
-        jobs.forEach(job -> ordered.add(new Queued(job, urgency(job), job.remainingWorkMagnitude())));
+        jobs.forEach(job -> ordered.add(new Queued(job, urgency(job), job.remainingWorkLog2())));
         ordered.sort(Comparator.comparing((Queued queued) -> queued.job.spec().priority())
                 .thenComparing(Queued::compareUrgency)
                 .thenComparing(queued -> queued.job.spec().id()));
--- a/src/main/java/org/weldcourse/admission/CapacityDemandEstimator.java
+++ b/src/main/java/org/weldcourse/admission/CapacityDemandEstimator.java
@@ -45,7 +45,7 @@
                                 : Math.max(MIN_RUN_MICROS, cluster.runTimes.expectedMicros(job)),
                         gapMicros,
                         deadlines.dueMicros(job),
-                        tasks.freePlacesByZone(),
+                        tasks.freeSlotsByZone(),
                         spec.spreadAcrossZones() ? job.tasksByZone() : Map.of()));
             }
         }
--- a/src/main/java/org/weldcourse/admission/CycleDecisions.java
+++ b/src/main/java/org/weldcourse/admission/CycleDecisions.java
@@ -54,9 +54,9 @@
      * @param spec the job
      * @param tasks how many of its tasks wait
      * @param blockedByQuota whether the team's limit is in the way, so that scaling out would not help
-     * @param freePlacesByZone for a gang, the places that are there for it already, by zone; it waits for the rest
+     * @param freeSlotsByZone for a gang, the places that are there for it already, by zone; it waits for the rest
      */
-    public record PendingTasks(JobSpec spec, int tasks, boolean blockedByQuota, Map<String, Integer> freePlacesByZone) {
+    public record PendingTasks(JobSpec spec, int tasks, boolean blockedByQuota, Map<String, Integer> freeSlotsByZone) {
         PendingTasks(JobSpec spec, int tasks, boolean blockedByQuota) {
             this(spec, tasks, blockedByQuota, Map.of());
         }
--- a/src/main/java/org/weldcourse/admission/FreeCapacity.java
+++ b/src/main/java/org/weldcourse/admission/FreeCapacity.java
@@ -42,7 +42,7 @@
         for (TaskView task : machine.allocation().tasks()) {
             replicas += task.job().isService() && !task.terminating() ? 1 : 0;
             // One that is past its time may go on for long: nothing is booked behind it.
-            if (task.running() && !task.terminating() && task.shouldEndBetween(nowMicros, untilMicros)) {
+            if (task.running() && !task.terminating() && task.expectedToEndBetween(nowMicros, untilMicros)) {
                 cpusFreeSoon += task.job().cpus();
                 gpusFreeSoon += task.job().gpus();
                 memoryGbFreeSoon += task.job().memoryGb();
--- a/src/main/java/org/weldcourse/admission/SnapshotBuilder.java
+++ b/src/main/java/org/weldcourse/admission/SnapshotBuilder.java
@@ -56,7 +56,7 @@
             if (job.canBeBooked(nowMicros)) {
                 Map<String, Integer> zones =
                         job.spec().singleZone() || job.spec().spreadAcrossZones() ? job.tasksByZone() : Map.of();
-                boolean started = !job.bookings().isEmpty() || job.hasDone();
+                boolean started = !job.bookings().isEmpty() || job.hasDoneTasks();
                 jobs.add(new JobView(
                         job.spec(),
                         job.pendingTasks(),
@@ -66,7 +66,7 @@
                         deadlines.latestStartMicros(job),
                         cluster.runTimes.expectedMicros(job),
                         zones,
-                        job.badMachines(),
+                        job.excludedMachines(),
                         quotas.reservedTasks(job)));
             }
         }
--- a/src/main/java/org/weldcourse/cluster/Booking.java
+++ b/src/main/java/org/weldcourse/cluster/Booking.java
@@ -81,7 +81,7 @@
     }
 
     /** The admission is held by the record under this key, be it moved there or written for the first time. */
-    public void recordedIn(String key) {
+    public void setRecordKey(String key) {
         recordKey = key;
     }
 
@@ -116,18 +116,18 @@
     }
 
     /** A start goes out in answer to the heartbeat at hand. */
-    public void startCommandSent() {
+    public void markStartSent() {
         startSent = true;
         startObserved = job.spec().checkpointIntervalMicros() == 0 || attempt == 1;
     }
 
     /** A newer heartbeat does not list it: a start that went out before is not on its way any more. */
-    public void startNotObserved() {
+    public void clearStartSent() {
         startSent = false;
     }
 
     /** The machine lists it in this state, which is not {@link TaskState#EXITED}; true when it began to run, so that its length can be foretold. */
-    public boolean observed(TaskState newState, long nowMicros) {
+    public boolean updateState(TaskState newState, long nowMicros) {
         boolean wasRunning = isRunning();
         reported = true;
         startSent = false;
@@ -135,7 +135,7 @@
             return false;
         }
         state = newState;
-        machine.invalidateLoad();
+        machine.invalidateAllocation();
         if (newState != TaskState.FETCHING_IMAGE) {
             machine.cacheImage(job.spec().image(), job.spec().imageGb());
         }
@@ -165,12 +165,12 @@
      * Whether its machine has to be told to stop it: what was told to start may be there before any heartbeat shows it, and
      * none may come.
      */
-    public boolean awaitsStopCommand() {
+    public boolean needsStopCommand() {
         return stopRequested && (reported || startSent) && !stopSent;
     }
 
     /** A stop goes out to the machine. */
-    public void stopCommandSent() {
+    public void markStopSent() {
         stopSent = true;
     }
 
@@ -181,7 +181,7 @@
             stopSent = false;
         }
         stopRequested = true;
-        machine.invalidateLoad();
+        machine.invalidateAllocation();
         machine.hasUnsentCommands = true;
     }
 }
--- a/src/main/java/org/weldcourse/cluster/ClusterState.java
+++ b/src/main/java/org/weldcourse/cluster/ClusterState.java
@@ -43,7 +43,7 @@
     }
 
     /** The machine of this name, which becomes known with this call if it is not. */
-    public Machine machine(String name, long nowMicros) {
+    public Machine getOrAddMachine(String name, long nowMicros) {
         return machines.computeIfAbsent(name, unknown -> new Machine(unknown, nowMicros));
     }
 
@@ -62,7 +62,7 @@
                     machine.name);
         }
         quotaUsage.addBooked(job.spec());
-        machine.invalidateLoad();
+        machine.invalidateAllocation();
         return booking;
     }
 
@@ -71,17 +71,17 @@
         booking.job().removeBooking(booking.task());
         if (booking.machine().bookings.remove(booking.taskId(), booking)) {
             quotaUsage.removeBooked(booking.job().spec());
-            booking.machine().invalidateLoad();
+            booking.machine().invalidateAllocation();
         }
     }
 
     /** There is evidence that the task is not on the machine, or it was never told to run there. */
-    public void release(Booking booking, ReleaseEvidence evidence, long nowMicros) {
+    public void release(Booking booking, ReleaseReason evidence, long nowMicros) {
         Machine machine = booking.machine();
         Job job = booking.job();
         if (machine.bookings.remove(booking.taskId(), booking)) {
             quotaUsage.removeBooked(job.spec());
-            machine.invalidateLoad();
+            machine.invalidateAllocation();
             LOG.debug("{} attempt {} is free of {}: {}", booking.taskId(), booking.attempt(), machine.name, evidence);
         }
         if (machine.bookings.isEmpty()) {
@@ -128,7 +128,7 @@
                         booking.machine().name,
                         cause);
         }
-        release(booking, ReleaseEvidence.EXITED, nowMicros);
+        release(booking, ReleaseReason.EXITED, nowMicros);
     }
 
     private void taskSucceeded(Booking booking, long nowMicros) {
@@ -159,13 +159,13 @@
         LOG.info("{} attempt {} failed on {}", booking.taskId(), booking.attempt(), machine.name);
         machine.failedJobs.add(job.spec().id());
         machine.successesSinceError = 0;
-        job.badMachines().add(machine.name);
+        job.excludedMachines().add(machine.name);
         int errors = job.countError();
-        if (job.badMachines().size() >= MACHINES_TO_BLAME_JOB) {
+        if (job.excludedMachines().size() >= MACHINES_TO_BLAME_JOB) {
             // Failing everywhere speaks against the job: try again ever more seldom, on any machine.
             long pauseMicros = FIRST_BACKOFF_MICROS << Math.min(10, errors);
             job.backOffUntil(nowMicros + Math.min(MAX_BACKOFF_MICROS, pauseMicros));
-            job.badMachines().clear();
+            job.excludedMachines().clear();
         }
     }
 
@@ -232,7 +232,7 @@
         machine.presentTasks.forEach(gone -> machineByPresentTask.remove(gone, machine));
         forgetUnbookedTasks(machine);
         for (Booking booking : new ArrayList<>(machine.bookings.values())) {
-            release(booking, ReleaseEvidence.MACHINE_SCALED_IN, nowMicros);
+            release(booking, ReleaseReason.MACHINE_SCALED_IN, nowMicros);
         }
     }
 }
--- a/src/main/java/org/weldcourse/cluster/Job.java
+++ b/src/main/java/org/weldcourse/cluster/Job.java
@@ -30,7 +30,7 @@
     private final BitSet pending = new BitSet();
 
     private final Int2ObjectHashMap<Booking> bookings = new Int2ObjectHashMap<>();
-    private final Set<String> badMachines = new HashSet<>();
+    private final Set<String> excludedMachines = new HashSet<>();
     private int unbookedTasks;
     private long doneSinceMicros = NEVER;
     private boolean cancelled;
@@ -75,7 +75,7 @@
     }
 
     /** Whether any of its tasks has finished. */
-    public boolean hasDone() {
+    public boolean hasDoneTasks() {
         return !done.isEmpty();
     }
 
@@ -182,14 +182,14 @@
     }
 
     /** This attempt was given out, be it by a leader before. */
-    public void attemptGivenOut(int attempt) {
+    public void recordAttempt(int attempt) {
         lastAttempt = Math.max(lastAttempt, attempt);
     }
 
     void addBooking(Booking booking) {
         pending.clear(booking.task());
         bookings.put(booking.task(), booking);
-        attemptGivenOut(booking.attempt());
+        recordAttempt(booking.attempt());
     }
 
     void removeBooking(int task) {
@@ -237,8 +237,8 @@
     // Failures and run times
 
     /** Machines on which a task of it failed of late: others are tried first. */
-    public Set<String> badMachines() {
-        return badMachines;
+    public Set<String> excludedMachines() {
+        return excludedMachines;
     }
 
     /** Counts an error, and says how many there have been without a success. */
@@ -292,7 +292,7 @@
     }
 
     /** The commit of its end was refused. */
-    public void closingRefused() {
+    public void abortClosing() {
         closing = false;
     }
 
--- a/src/main/java/org/weldcourse/cluster/JobRecords.java
+++ b/src/main/java/org/weldcourse/cluster/JobRecords.java
@@ -24,7 +24,7 @@
     }
 
     /** The job's own record was read as of this revision. */
-    public void jobRead(long modRevision) {
+    public void setJobRevision(long modRevision) {
         jobRevision = modRevision;
     }
 
@@ -77,7 +77,7 @@
     }
 
     /** The write under way was applied. */
-    public void written(Collection<String> keys, long modRevision) {
+    public void writeApplied(Collection<String> keys, long modRevision) {
         keys.forEach(key -> revisions.put(key, modRevision));
         writeInFlight = false;
     }
--- a/src/main/java/org/weldcourse/cluster/Machine.java
+++ b/src/main/java/org/weldcourse/cluster/Machine.java
@@ -48,7 +48,7 @@
     private int lostAnswers;
 
     private long answersLostSinceMicros;
-    private long lastAnswerLostMicros;
+    private long lastLostResponseMicros;
     public long firstHeartbeatMicros = -1;
     public final Map<TaskId, Booking> bookings = new HashMap<>();
     /** What the last heartbeat listed without a booking; it holds room until it exits. */
@@ -64,7 +64,7 @@
     /** It may have something to be told that should not wait for its next heartbeat. */
     public boolean hasUnsentCommands;
     /** A direct message is on its way; a second one waits for its answer. */
-    public boolean directInFlight;
+    public boolean directCommandsInFlight;
     /** What its last heartbeat that counted showed to be on it. */
     Set<TaskId> presentTasks = new HashSet<>();
     /** What cycles see of its bookings; null when it has to be made anew. */
@@ -80,7 +80,7 @@
     }
 
     /** Its bookings, their states or its images are not what they were. */
-    public void invalidateLoad() {
+    public void invalidateAllocation() {
         allocation = null;
     }
 
@@ -121,21 +121,21 @@
     }
 
     /** An answer to one of its heartbeats did not reach it, though its heartbeats reach us. */
-    public void answerLost(long nowMicros) {
+    public void recordLostResponse(long nowMicros) {
         if (lostAnswers++ == 0) {
             answersLostSinceMicros = nowMicros;
         }
-        lastAnswerLostMicros = nowMicros;
+        lastLostResponseMicros = nowMicros;
     }
 
     /** A heartbeat showed that an answer reached it. */
-    public void answerArrived() {
+    public void recordDeliveredResponse() {
         lostAnswers = 0;
     }
 
     /** When the last answer got lost, or -1 when they arrive as far as known. */
-    public long lastAnswerLostMicros() {
-        return lostAnswers == 0 ? -1 : lastAnswerLostMicros;
+    public long lastLostResponseMicros() {
+        return lostAnswers == 0 ? -1 : lastLostResponseMicros;
     }
 
     /**
@@ -163,7 +163,7 @@
 
     /** Notes that a task got its image; the least recently used ones fall out of the cache. */
     public void cacheImage(String image, double gb) {
-        invalidateLoad();
+        invalidateAllocation();
         images.remove(image);
         images.put(image, gb);
         double held = 0;
--- a/src/main/java/org/weldcourse/cluster/QuotaUsage.java
+++ b/src/main/java/org/weldcourse/cluster/QuotaUsage.java
@@ -48,7 +48,7 @@
     }
 
     /** Tasks of a job that can't be read were admitted; {@code team} is null where not even that is known. */
-    public void fillForUnreadableJob(String team) {
+    public void blockForUnreadableJob(String team) {
         if (team == null) {
             allTeamsFull = true;
         } else {
@@ -62,7 +62,7 @@
     }
 
     /** What counts against the team's limit without being booked. */
-    public ResourceAmount notBookedBy(String team) {
+    public ResourceAmount unbookedBy(String team) {
         if (allTeamsFull || fullTeams.contains(team)) {
             return ANY_AMOUNT;
         }
@@ -71,7 +71,7 @@
     }
 
     /** All that counts against the team's limit. */
-    public ResourceAmount countedAgainst(String team) {
-        return bookedBy(team).plus(notBookedBy(team));
+    public ResourceAmount usedBy(String team) {
+        return bookedBy(team).plus(unbookedBy(team));
     }
 }
--- a/src/main/java/org/weldcourse/cluster/ReleaseEvidence.java
+++ b/src/main/java/org/weldcourse/cluster/ReleaseReason.java
@@ -1,7 +1,7 @@
 package org.weldcourse.cluster;
 
 /** Why a booking's place and quota are free: that the task is not there, or can't have been told to run. */
-public enum ReleaseEvidence {
+public enum ReleaseReason {
     /** A newer heartbeat under this leader's token lists it as exited. */
     EXITED,
     /** A newer heartbeat under this leader's token lists it no more. */
--- a/src/main/java/org/weldcourse/cluster/Snapshot.java
+++ b/src/main/java/org/weldcourse/cluster/Snapshot.java
@@ -84,7 +84,7 @@
         }
 
         /** Whether a running task should end by then, and is not past its time yet. */
-        public boolean shouldEndBetween(long nowMicros, long untilMicros) {
+        public boolean expectedToEndBetween(long nowMicros, long untilMicros) {
             long endMicros = runningSinceMicros + expectedRunMicros;
             return endMicros >= nowMicros && endMicros <= untilMicros;
         }
@@ -129,7 +129,7 @@
             Set<String> excludedMachines,
             int quotaReservedTasks) {
         /** The work that is left to admit, in CPU-seconds as a power of two. */
-        public int remainingWorkMagnitude() {
+        public int remainingWorkLog2() {
             double cpuSeconds = pending.cardinality() * spec.cpus() * (spec.isService() ? 1 : expectedRunMicros / 1e6);
             return Math.getExponent(Math.max(1, cpuSeconds));
         }
--- a/src/main/java/org/weldcourse/fleet/MachineInventory.java
+++ b/src/main/java/org/weldcourse/fleet/MachineInventory.java
@@ -78,7 +78,7 @@
             return;
         }
         long launchedMicros = nowMicros - listed.ageMicros();
-        Machine machine = cluster.machine(listed.name(), launchedMicros);
+        Machine machine = cluster.getOrAddMachine(listed.name(), launchedMicros);
         describe(machine, listed.offering());
         machine.rentedMicros = Math.min(machine.rentedMicros, launchedMicros);
         machine.reportedFailed |= listed.failed();
@@ -88,7 +88,7 @@
     /** Takes note of machines that were launched now. */
     void launched(List<String> machines, Offering offering, long nowMicros) {
         for (String name : machines) {
-            Machine machine = cluster.machine(name, nowMicros);
+            Machine machine = cluster.getOrAddMachine(name, nowMicros);
             describe(machine, offering);
             machine.starting = true;
         }
--- a/src/main/java/org/weldcourse/leader/AdmissionCycle.java
+++ b/src/main/java/org/weldcourse/leader/AdmissionCycle.java
@@ -13,7 +13,7 @@
 import org.weldcourse.cluster.ClusterState;
 import org.weldcourse.cluster.Job;
 import org.weldcourse.cluster.Machine;
-import org.weldcourse.cluster.ReleaseEvidence;
+import org.weldcourse.cluster.ReleaseReason;
 import org.weldcourse.fleet.Autoscaler;
 import org.weldcourse.persistence.RecordWriter;
 import org.weldcourse.quota.enforcement.QuotaEnforcement;
@@ -169,8 +169,7 @@
                     booking.machine().hasUnsentCommands = true;
                 });
             } else {
-                booked.forEach(
-                        booking -> cluster.release(booking, ReleaseEvidence.ADMISSION_REFUSED, clock.nowMicros()));
+                booked.forEach(booking -> cluster.release(booking, ReleaseReason.ADMISSION_REFUSED, clock.nowMicros()));
             }
             wakeForEvent();
         });
--- a/src/main/java/org/weldcourse/leader/HeartbeatHandler.java
+++ b/src/main/java/org/weldcourse/leader/HeartbeatHandler.java
@@ -61,7 +61,7 @@
             reply.send(200, CommandCodec.answer(fencingToken, commands.stopsOfCancelled(heartbeat)));
             return;
         }
-        Machine machine = cluster.machine(heartbeat.machine(), nowMicros);
+        Machine machine = cluster.getOrAddMachine(heartbeat.machine(), nowMicros);
         if (machine.type == null) {
             machine.type = dependencies.machineTypes().byName(heartbeat.type()).orElse(null);
         }
--- a/src/main/java/org/weldcourse/leader/LeaderTerm.java
+++ b/src/main/java/org/weldcourse/leader/LeaderTerm.java
@@ -157,7 +157,7 @@
         for (Settings.Team team : dependencies.settings().teams()) {
             String name = team.name();
             metrics.reportTeam(
-                    name, cluster.quotaUsage.bookedBy(name), cluster.quotaUsage.notBookedBy(name), quotas.limit(name));
+                    name, cluster.quotaUsage.bookedBy(name), cluster.quotaUsage.unbookedBy(name), quotas.limit(name));
         }
     }
 
--- a/src/main/java/org/weldcourse/leader/SyntheticCluster.java
+++ b/src/main/java/org/weldcourse/leader/SyntheticCluster.java
@@ -91,7 +91,7 @@
         this.recordWriter =
                 new RecordWriter(store, clock, timers, settings.storeLimits(), 1, new IgnoredWriterEvents());
         for (int i = 0; i < MACHINES; i++) {
-            state.machine(machineName(i), nowMicros).type = types.get(i % types.size());
+            state.getOrAddMachine(machineName(i), nowMicros).type = types.get(i % types.size());
         }
         addJob(1, Kind.GANG, Priority.HIGH, 3, 30);
         addJob(2, Kind.GANG, Priority.HIGH, 40, 30);
@@ -157,7 +157,7 @@
             throw new IllegalStateException(impossible);
         }
         Reconciler.Result result =
-                reconciler.reconcile(state.machine(heartbeat.machine(), nowMicros), heartbeat, true, nowMicros);
+                reconciler.reconcile(state.getOrAddMachine(heartbeat.machine(), nowMicros), heartbeat, true, nowMicros);
         reply.send(200, CommandCodec.answer(FENCING_TOKEN, result.commands()));
     }
 
@@ -217,7 +217,7 @@
                     .restore(
                             restored,
                             new Store.Entry(StoreKeys.admission(job.spec().id(), 0), record, 1, 0));
-            AdmissionRecordCodec.visit(record, (machine, attempt, first, last) -> restored.attemptGivenOut(attempt));
+            AdmissionRecordCodec.visit(record, (machine, attempt, first, last) -> restored.recordAttempt(attempt));
         }
     }
 
--- a/src/main/java/org/weldcourse/persistence/AdmissionRecords.java
+++ b/src/main/java/org/weldcourse/persistence/AdmissionRecords.java
@@ -125,7 +125,7 @@
             for (int task = first; task <= last; task++) {
                 Booking booking = job.booking(task);
                 if (booking != null && booking.attempt() == attempt) {
-                    booking.recordedIn(key);
+                    booking.setRecordKey(key);
                 }
             }
         });
--- a/src/main/java/org/weldcourse/persistence/FailoverRecovery.java
+++ b/src/main/java/org/weldcourse/persistence/FailoverRecovery.java
@@ -135,7 +135,7 @@
 
     /** A task may stand in several records; the last of its admissions is the one that counts. */
     private void restoreBooking(Job job, int task, int attempt, String machineName, String recordKey, long nowMicros) {
-        job.attemptGivenOut(attempt);
+        job.recordAttempt(attempt);
         Booking earlier = job.booking(task);
         if (job.isDone(task) || earlier != null && earlier.attempt() >= attempt) {
             return;
@@ -143,8 +143,8 @@
         if (earlier != null) {
             cluster.discard(earlier);
         }
-        Booking booking = cluster.book(job, task, attempt, cluster.machine(machineName, nowMicros), nowMicros);
-        booking.recordedIn(recordKey);
+        Booking booking = cluster.book(job, task, attempt, cluster.getOrAddMachine(machineName, nowMicros), nowMicros);
+        booking.setRecordKey(recordKey);
         booking.markPersisted();
     }
 }
--- a/src/main/java/org/weldcourse/persistence/JobCloser.java
+++ b/src/main/java/org/weldcourse/persistence/JobCloser.java
@@ -72,7 +72,7 @@
 
             @Override
             public void refused() {
-                job.closingRefused();
+                job.abortClosing();
                 listener.jobRecordChanged(job);
             }
         });
--- a/src/main/java/org/weldcourse/persistence/JobRecordCommits.java
+++ b/src/main/java/org/weldcourse/persistence/JobRecordCommits.java
@@ -59,7 +59,7 @@
                 new ConfirmedCommits.Result() {
                     @Override
                     public void written(long modRevision) {
-                        job.records().written(records.keySet(), modRevision);
+                        job.records().writeApplied(records.keySet(), modRevision);
                         then.completed(true);
                     }
 
--- a/src/main/java/org/weldcourse/persistence/JobRecordRestorer.java
+++ b/src/main/java/org/weldcourse/persistence/JobRecordRestorer.java
@@ -28,7 +28,7 @@
      */
     public void restore(Job job, Store.Entry entry) {
         job.records().restore(entry.key(), entry.modRevision(), AdmissionRecordCodec.writeNumber(entry.value()));
-        job.attemptGivenOut(AdmissionRecordCodec.lastAttempt(entry.value()));
+        job.recordAttempt(AdmissionRecordCodec.lastAttempt(entry.value()));
         boolean isShard = entry.key().startsWith(StoreKeys.FINISHED_TASKS);
         int firstTask = isShard ? layout.firstTask(entry) : 0;
         restoreDone(job, FinishedTasksCodec.decode(entry.value()), firstTask, isShard || layout.isInAdmissions(job));
--- a/src/main/java/org/weldcourse/persistence/OpenJobsWatch.java
+++ b/src/main/java/org/weldcourse/persistence/OpenJobsWatch.java
@@ -204,7 +204,7 @@
             quotas.jobLoaded(job, value);
         }
         if (version >= job.records().jobRevision() && !job.isClosed()) {
-            job.records().jobRead(version);
+            job.records().setJobRevision(version);
             if (JobRecordCodec.isCancelled(value)) {
                 job.cancel();
             }
--- a/src/main/java/org/weldcourse/persistence/OutstandingRecord.java
+++ b/src/main/java/org/weldcourse/persistence/OutstandingRecord.java
@@ -42,8 +42,9 @@
         job.markAllDone();
         AdmissionRecordCodec.visit(record, (machine, attempt, first, last) -> {
             for (int task = first; task <= last && task < spec.tasks(); task++) {
-                Booking booking = cluster.book(job, task, attempt, cluster.machine(machine, nowMicros), nowMicros);
-                booking.recordedIn(StoreKeys.outstanding(spec.id()));
+                Booking booking =
+                        cluster.book(job, task, attempt, cluster.getOrAddMachine(machine, nowMicros), nowMicros);
+                booking.setRecordKey(StoreKeys.outstanding(spec.id()));
                 booking.markPersisted();
                 booking.requestStop(0);
             }
--- a/src/main/java/org/weldcourse/persistence/UnreadableRecords.java
+++ b/src/main/java/org/weldcourse/persistence/UnreadableRecords.java
@@ -38,7 +38,7 @@
 
     /** Something of an open job was admitted whose own record can't be read. */
     void admissionOfOpenJob(String id) {
-        cluster.quotaUsage.fillForUnreadableJob(teamByJob.get(id));
+        cluster.quotaUsage.blockForUnreadableJob(teamByJob.get(id));
     }
 
     /** What was admitted of a job can't be read: nobody knows what runs where, and nothing is decided about the job. */
@@ -50,7 +50,7 @@
 
     /** What may still be on machines of a job that is over can't be read. */
     void outstanding(String key, Map<String, Object> value, Exception why) {
-        cluster.quotaUsage.fillForUnreadableJob(JobRecordCodec.team(value));
+        cluster.quotaUsage.blockForUnreadableJob(JobRecordCodec.team(value));
         name(key, why);
     }
 
--- a/src/main/java/org/weldcourse/quota/enforcement/LedgerQuotaEnforcement.java
+++ b/src/main/java/org/weldcourse/quota/enforcement/LedgerQuotaEnforcement.java
@@ -213,7 +213,7 @@
 
     @Override
     public boolean isExceeded(String team) {
-        return monitor.isOver(team, cluster.quotaUsage::countedAgainst);
+        return monitor.isOver(team, cluster.quotaUsage::usedBy);
     }
 
     @Override
--- a/src/main/java/org/weldcourse/quota/enforcement/OverQuotaMonitor.java
+++ b/src/main/java/org/weldcourse/quota/enforcement/OverQuotaMonitor.java
@@ -78,7 +78,7 @@
     /** Visits each team and each cohort with one of these policies that is above its limit by all that counts against it. */
     private void visitOver(
             Predicate<OverQuotaPolicy> policies, Consumer<TeamQuota> onTeam, Consumer<CohortQuota> onCohort) {
-        UsageByTeam usage = cluster.quotaUsage::countedAgainst;
+        UsageByTeam usage = cluster.quotaUsage::usedBy;
         Set<String> cohortsSeen = new HashSet<>();
         for (EffectiveQuota quota : quotas()) {
             TeamQuota team = quota.team();
@@ -110,11 +110,11 @@
         StringBuilder text = new StringBuilder();
         visitOver(
                 policy -> true,
-                team -> text.append(OverQuotaText.ofTeam(
-                                team.name(), cluster.quotaUsage.countedAgainst(team.name()), team.limit()))
+                team -> text.append(
+                                OverQuotaText.ofTeam(team.name(), cluster.quotaUsage.usedBy(team.name()), team.limit()))
                         .append(leftTo(team.overQuotaPolicy())),
                 cohort -> text.append(OverQuotaText.ofCohort(
-                                cohort.name(), usedBy(cohort, cluster.quotaUsage::countedAgainst), cohort.limit()))
+                                cohort.name(), usedBy(cohort, cluster.quotaUsage::usedBy), cohort.limit()))
                         .append(leftTo(cohort.overQuotaPolicy())));
         return text.toString();
     }
--- a/src/main/java/org/weldcourse/quota/enforcement/QuotaSnapshot.java
+++ b/src/main/java/org/weldcourse/quota/enforcement/QuotaSnapshot.java
@@ -55,7 +55,7 @@
         if (quota == null) {
             return;
         }
-        ResourceAmount certain = cluster.quotaUsage.countedAgainst(team).plus(reservations.budgets(team));
+        ResourceAmount certain = cluster.quotaUsage.usedBy(team).plus(reservations.budgets(team));
         teamHeadrooms.put(team, new QuotaHeadroom(quota.team().limit(), certain));
         CohortQuota cohort = quota.cohort();
         if (cohort == null) {
@@ -74,7 +74,7 @@
         ResourceAmount sum = ResourceAmount.ZERO;
         for (Settings.Team team : settings.teams()) {
             if (ledger.quota(team.name()) == null && ledger.mayBelongTo(team.name(), cohort)) {
-                sum = sum.plus(cluster.quotaUsage.countedAgainst(team.name()));
+                sum = sum.plus(cluster.quotaUsage.usedBy(team.name()));
             }
         }
         return sum;
@@ -161,7 +161,7 @@
         }
         boolean awaitsRecord = ledgerIsRead && ledger.quota(name) == null && !ledger.isUnreadable(name);
         return awaitsRecord
-                ? TeamView.of(team, cluster.quotaUsage.countedAgainst(name))
+                ? TeamView.of(team, cluster.quotaUsage.usedBy(name))
                 : new TeamView(team, Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY);
     }
 
--- a/src/main/java/org/weldcourse/quota/enforcement/SettingsQuotaEnforcement.java
+++ b/src/main/java/org/weldcourse/quota/enforcement/SettingsQuotaEnforcement.java
@@ -33,7 +33,7 @@
     public List<TeamView> teamViews(long nowMicros) {
         List<TeamView> teams = new ArrayList<>();
         for (Settings.Team team : settings.teams()) {
-            teams.add(TeamView.of(team, cluster.quotaUsage.countedAgainst(team.name())));
+            teams.add(TeamView.of(team, cluster.quotaUsage.usedBy(team.name())));
         }
         return teams;
     }
@@ -76,7 +76,7 @@
 
     @Override
     public boolean isExceeded(String team) {
-        return QuotaInvariant.isExceeded(limit(team), cluster.quotaUsage.countedAgainst(team));
+        return QuotaInvariant.isExceeded(limit(team), cluster.quotaUsage.usedBy(team));
     }
 
     @Override
@@ -90,7 +90,7 @@
         for (Settings.Team team : settings.teams()) {
             String name = team.name();
             if (isExceeded(name)) {
-                text.append(OverQuotaText.ofTeam(name, cluster.quotaUsage.countedAgainst(name), limit(name)))
+                text.append(OverQuotaText.ofTeam(name, cluster.quotaUsage.usedBy(name), limit(name)))
                         .append("; ");
             }
         }
--- a/src/main/java/org/weldcourse/workers/AnswerLossDetector.java
+++ b/src/main/java/org/weldcourse/workers/AnswerLossDetector.java
@@ -19,7 +19,7 @@
     void incarnationBegan(Machine machine, long nowMicros) {
         if (machine.incarnation > 0 && nowMicros - machine.lastHeartbeatMicros < leaseMicros) {
             // Its heartbeats came all the time, and yet its lease expired.
-            machine.answerLost(nowMicros);
+            machine.recordLostResponse(nowMicros);
         }
     }
 
@@ -30,12 +30,12 @@
      */
     void startsAnswered(Machine machine, boolean startArrived, Set<TaskId> listed, long nowMicros) {
         if (startArrived) {
-            machine.answerArrived();
+            machine.recordDeliveredResponse();
             return;
         }
         for (Booking booking : machine.bookings.values()) {
             if (booking.isStartSent() && !listed.contains(booking.taskId())) {
-                machine.answerLost(nowMicros);
+                machine.recordLostResponse(nowMicros);
                 return;
             }
         }
@@ -43,10 +43,10 @@
 
     /** To be called after all else that the heartbeat shows of answers. */
     void incarnationGoesOn(Machine machine, long nowMicros) {
-        long lostMicros = machine.lastAnswerLostMicros();
+        long lostMicros = machine.lastLostResponseMicros();
         if (lostMicros >= 0 && nowMicros - lostMicros > leaseMicros * 3 / 2) {
             // Without an answer since then this incarnation would be over.
-            machine.answerArrived();
+            machine.recordDeliveredResponse();
         }
     }
 }
--- a/src/main/java/org/weldcourse/workers/BookingReconciliation.java
+++ b/src/main/java/org/weldcourse/workers/BookingReconciliation.java
@@ -9,7 +9,7 @@
 import org.weldcourse.cluster.Booking;
 import org.weldcourse.cluster.ClusterState;
 import org.weldcourse.cluster.Machine;
-import org.weldcourse.cluster.ReleaseEvidence;
+import org.weldcourse.cluster.ReleaseReason;
 
 /** Reconciles the tasks that an accepted heartbeat lists with the machine's bookings. */
 final class BookingReconciliation {
@@ -45,7 +45,7 @@
                     cluster.taskExited(booking, task.cause(), nowMicros);
                     changed = true;
                 } else {
-                    changed |= booking.observed(task.state(), nowMicros);
+                    changed |= booking.updateState(task.state(), nowMicros);
                 }
             } else if (!exited) {
                 LOG.info("{} attempt {} is on {} without a booking", task.id(), task.attempt(), machine.name);
@@ -68,10 +68,10 @@
             if (listed.contains(booking.taskId())) {
                 continue;
             }
-            booking.startNotObserved();
+            booking.clearStartSent();
             if (booking.isReported() || booking.isPersisted() && isUnwanted(booking)) {
-                ReleaseEvidence evidence =
-                        booking.isReported() ? ReleaseEvidence.NO_LONGER_LISTED : ReleaseEvidence.NEVER_LISTED;
+                ReleaseReason evidence =
+                        booking.isReported() ? ReleaseReason.NO_LONGER_LISTED : ReleaseReason.NEVER_LISTED;
                 cluster.release(booking, evidence, nowMicros);
                 freed = true;
             }
--- a/src/main/java/org/weldcourse/workers/CommandSelector.java
+++ b/src/main/java/org/weldcourse/workers/CommandSelector.java
@@ -89,7 +89,7 @@
             }
             if (booking.isStopRequested() && commands.size() < MAX_COMMANDS) {
                 commands.add(WorkerCommand.stop(booking.taskId(), booking.attempt(), booking.gracePeriodMicros()));
-                booking.stopCommandSent();
+                booking.markStopSent();
             }
         }
     }
@@ -108,7 +108,7 @@
                 continue;
             }
             room.take(spec);
-            booking.startCommandSent();
+            booking.markStartSent();
             commands.add(WorkerCommand.start(booking.taskId(), booking.attempt()));
             startAuthorization.started(booking);
         }
--- a/src/main/java/org/weldcourse/workers/DirectCommands.java
+++ b/src/main/java/org/weldcourse/workers/DirectCommands.java
@@ -54,7 +54,7 @@
     }
 
     private static boolean isReachable(Machine machine) {
-        return !machine.directInFlight && machine.reconciled && !machine.deleting && machine.address != null;
+        return !machine.directCommandsInFlight && machine.reconciled && !machine.deleting && machine.address != null;
     }
 
     private List<WorkerCommand> commands(Machine machine, boolean overloaded) {
@@ -67,8 +67,8 @@
             if (commands.size() >= CommandSelector.MAX_COMMANDS) {
                 break;
             }
-            if (booking.awaitsStopCommand()) {
-                booking.stopCommandSent();
+            if (booking.needsStopCommand()) {
+                booking.markStopSent();
                 commands.add(WorkerCommand.stop(booking.taskId(), booking.attempt(), booking.gracePeriodMicros()));
             }
         }
@@ -76,7 +76,7 @@
     }
 
     private void post(Machine machine, List<WorkerCommand> commands) {
-        machine.directInFlight = true;
+        machine.directCommandsInFlight = true;
         inFlight++;
         caller.call(
                 new Caller.Call(
@@ -86,7 +86,7 @@
                         CommandCodec.direct(fencingToken, machine.incarnation, commands),
                         TIMEOUT_MICROS),
                 answer -> {
-                    machine.directInFlight = false;
+                    machine.directCommandsInFlight = false;
                     inFlight--;
                 });
     }
--- a/src/main/java/org/weldcourse/workers/StartAuthorization.java
+++ b/src/main/java/org/weldcourse/workers/StartAuthorization.java
@@ -137,7 +137,7 @@
 
     private String usageText(String team) {
         QuotaUsage usage = cluster.quotaUsage;
-        return "team " + team + " has " + usage.bookedBy(team) + " booked and " + usage.notBookedBy(team)
+        return "team " + team + " has " + usage.bookedBy(team) + " booked and " + usage.unbookedBy(team)
                 + " besides, of " + quotas.limitText(team);
     }
 }
--- a/src/test/java/org/weldcourse/admission/PlannerTest.java
+++ b/src/test/java/org/weldcourse/admission/PlannerTest.java
@@ -119,7 +119,7 @@
         CycleDecisions decisions = decide(PLENTY, machines, gang(1, 3, 160), gang(2, 1, 160 - 1), array);
         assertEquals(List.of("req-000008"), admitted(decisions));
         assertEquals(Set.of("m-1", "m-2", "m-3"), decisions.reservedMachines());
-        assertEquals(Map.of("a", 2), decisions.pending().get(0).freePlacesByZone());
+        assertEquals(Map.of("a", 2), decisions.pending().get(0).freeSlotsByZone());
         // Long after, the hold pauses, should the rest never be found.
         assertTrue(decide(PLENTY, machines, gang(1, 3, 240)).reservedMachines().isEmpty());
     }
--- a/src/test/java/org/weldcourse/fleet/ScaleInPolicyTest.java
+++ b/src/test/java/org/weldcourse/fleet/ScaleInPolicyTest.java
@@ -34,7 +34,7 @@
     }
 
     private Machine heard(String name, String zone, boolean spot, long silentSeconds) {
-        Machine machine = cluster.machine(name, 0);
+        Machine machine = cluster.getOrAddMachine(name, 0);
         machine.type = SMALL;
         machine.zone = zone;
         machine.spot = spot;
@@ -85,7 +85,7 @@
 
     @Test
     void machinesThatNeverCameUpAreDeletedOnceTheyAreNotWorthTheirPrice() {
-        Machine machine = cluster.machine("m", NOW - 58 * SECOND);
+        Machine machine = cluster.getOrAddMachine("m", NOW - 58 * SECOND);
         machine.type = SMALL;
         assertEquals(Optional.empty(), reason(machine));
         machine.rentedMicros = NOW - 59 * SECOND;
--- a/src/test/java/org/weldcourse/leader/StandbyWarmUpTest.java
+++ b/src/test/java/org/weldcourse/leader/StandbyWarmUpTest.java
@@ -31,7 +31,7 @@
         assertTrue(warmUp.cluster().state().jobs.values().stream()
                 .anyMatch(job -> job.spec().isGang() && job.allDone()));
         assertTrue(warmUp.cluster().state().jobs.values().stream()
-                .anyMatch(job -> !job.spec().isGang() && job.hasDone()));
+                .anyMatch(job -> !job.spec().isGang() && job.hasDoneTasks()));
         assertFalse(warmUp.cluster().state().machines.values().stream().anyMatch(machine -> !machine.reconciled));
     }
 
--- a/src/test/java/org/weldcourse/quota/enforcement/QuotaSnapshotScaleTest.java
+++ b/src/test/java/org/weldcourse/quota/enforcement/QuotaSnapshotScaleTest.java
@@ -50,7 +50,7 @@
     @Test
     void anAccountLooksAtReservedJobsOnly() throws Exception {
         for (int i = 0; i < MACHINES; i++) {
-            cluster.machine("m-" + i, 0);
+            cluster.getOrAddMachine("m-" + i, 0);
         }
         for (int i = 0; i < TEAMS; i++) {
             reservations.quotaSeen(new EffectiveQuota(team(i), null));
--- a/src/test/java/org/weldcourse/workers/ReconcilerTest.java
+++ b/src/test/java/org/weldcourse/workers/ReconcilerTest.java
@@ -60,7 +60,7 @@
 
     @Test
     void everyAnswerHaltsWhatIsKnownAsCancelledEvenBeforeTheNextCycle() throws Exception {
-        Machine machine = cluster.machine("m-000001", 0);
+        Machine machine = cluster.getOrAddMachine("m-000001", 0);
         Booking booking = admit(1, machine);
         Job job = booking.job();
         assertEquals(
@@ -93,7 +93,7 @@
 
     @Test
     void neitherOldHeartbeatsNorThoseUnderAnotherTokenTeachAnything() throws Exception {
-        Machine machine = cluster.machine("m-000001", 0);
+        Machine machine = cluster.getOrAddMachine("m-000001", 0);
         Booking booking = admit(1, machine);
         assertFalse(reconciler
                 .reconcile(machine, heartbeat(1, 6, booking.taskId()), true, 1_000)
@@ -114,7 +114,7 @@
 
     @Test
     void whatANewerHeartbeatListsNoMoreIsPendingAgain() throws Exception {
-        Machine machine = cluster.machine("m-000001", 0);
+        Machine machine = cluster.getOrAddMachine("m-000001", 0);
         Booking booking = admit(1, machine);
         reconciler.reconcile(machine, heartbeat(1, 7, booking.taskId()), true, 1_000);
         assertFalse(booking.job().pendingTasks().get(0));
@@ -127,18 +127,18 @@
 
     @Test
     void machineThatMissesTwoAnswersIsCordonedUntilOneArrives() throws Exception {
-        Machine machine = cluster.machine("m-000001", 0);
+        Machine machine = cluster.getOrAddMachine("m-000001", 0);
         Booking first = admit(1, machine);
-        first.startCommandSent();
+        first.markStartSent();
         reconciler.reconcile(machine, heartbeat(1, 7, List.of()), false, 1_000);
         assertFalse(machine.isCordoned());
         assertEquals(first, machine.bookings.get(first.taskId()), "it may be told to start again");
-        first.startCommandSent();
+        first.markStartSent();
         reconciler.reconcile(machine, heartbeat(2, 7, List.of()), false, 2_000);
         assertTrue(machine.isCordoned());
         assertTrue(machine.bookings.isEmpty(), "it is given up for another machine");
         Booking second = admit(2, machine);
-        second.startCommandSent();
+        second.markStartSent();
         List<TaskStatus> listed = List.of(new TaskStatus(second.taskId(), 2, TaskState.FETCHING_IMAGE, null));
         reconciler.reconcile(machine, heartbeat(3, 7, listed), false, 3_000);
         assertFalse(machine.isCordoned());
@@ -146,7 +146,7 @@
 
     @Test
     void leaseThatExpiresWhileHeartbeatsArriveShowsALostAnswer() {
-        Machine machine = cluster.machine("m-000001", 0);
+        Machine machine = cluster.getOrAddMachine("m-000001", 0);
         for (long incarnation = 1; incarnation <= 3; incarnation++) {
             assertFalse(machine.isCordoned());
             Heartbeat heartbeat = new Heartbeat(
--- a/src/test/java/org/weldcourse/workers/StartAuthorizationTest.java
+++ b/src/test/java/org/weldcourse/workers/StartAuthorizationTest.java
@@ -28,7 +28,7 @@
 
     private final ClusterState cluster = new ClusterState();
     private final StartCounts counts = new StartCounts();
-    private final Machine machine = cluster.machine("m-000001", 0);
+    private final Machine machine = cluster.getOrAddMachine("m-000001", 0);
     private final StartAuthorization startAuthorization = new StartAuthorization(
             cluster,
             new StartAuthorization.TeamQuotas() {
@@ -39,7 +39,7 @@
 
                 @Override
                 public boolean isExceeded(String team) {
-                    return QuotaInvariant.isExceeded(LIMIT, cluster.quotaUsage.countedAgainst(team));
+                    return QuotaInvariant.isExceeded(LIMIT, cluster.quotaUsage.usedBy(team));
                 }
 
                 @Override
@@ -92,32 +92,32 @@
     void whatIsNotBookedWithholdsStartsUntilItIsGone() {
         Booking booking = booked(0);
         booked(1);
-        Machine other = cluster.machine("m-000002", 0);
+        Machine other = cluster.getOrAddMachine("m-000002", 0);
         cluster.setUnbookedTasks(other, List.of(running(job.spec().id(), 2, 7)));
         assertFalse(startAuthorization.allows(booking, 0));
         assertEquals(1, counts.withheld());
         assertEquals(0, counts.violations());
-        assertEquals(ResourceAmount.of(2, 1), cluster.quotaUsage.notBookedBy(TEAM));
+        assertEquals(ResourceAmount.of(2, 1), cluster.quotaUsage.unbookedBy(TEAM));
         cluster.setUnbookedTasks(other, List.of());
         assertTrue(startAuthorization.allows(booking, 0));
-        assertEquals(ResourceAmount.ZERO, cluster.quotaUsage.notBookedBy(TEAM));
+        assertEquals(ResourceAmount.ZERO, cluster.quotaUsage.unbookedBy(TEAM));
     }
 
     @Test
     void nonsenseInAReportIsChargedToNobodyElseAndHoldsWhatItMayHold() {
-        Machine other = cluster.machine("m-000002", 0);
+        Machine other = cluster.getOrAddMachine("m-000002", 0);
         cluster.setUnbookedTasks(
                 other,
                 List.of(running("req-777777", 0, 1), running(job.spec().id(), 99_999, 1), running("req-777777", 1, 1)));
         assertEquals(2, cluster.tasksOfUnknownJobs());
         assertEquals(
                 ResourceAmount.of(2, 1),
-                cluster.quotaUsage.notBookedBy(TEAM),
+                cluster.quotaUsage.unbookedBy(TEAM),
                 "beyond the job's size, and there all the same");
         assertTrue(job.mayBeOnMachines());
         cluster.removeMachine(other, 0);
         assertEquals(0, cluster.tasksOfUnknownJobs());
-        assertEquals(ResourceAmount.ZERO, cluster.quotaUsage.notBookedBy(TEAM));
+        assertEquals(ResourceAmount.ZERO, cluster.quotaUsage.unbookedBy(TEAM));
         assertFalse(job.mayBeOnMachines());
     }
 
@@ -130,7 +130,7 @@
 
     @Test
     void aRecordOfUnknownTeamLeavesNoTeamAnyRoom() {
-        cluster.quotaUsage.fillForUnreadableJob(null);
+        cluster.quotaUsage.blockForUnreadableJob(null);
         Booking booking = booked(0);
         assertFalse(startAuthorization.allows(booking, 0));
         assertEquals(0, counts.violations());
@@ -144,7 +144,7 @@
         Job back = OutstandingRecord.restore(
                 next, Json.objectOrEmpty(Json.bytes(OutstandingRecord.encode(job, 10_000))), 5);
         assertEquals(ResourceAmount.of(4, 2), next.quotaUsage.bookedBy(TEAM));
-        assertEquals(2, next.machine("m-000001", 5).bookings.size());
+        assertEquals(2, next.getOrAddMachine("m-000001", 5).bookings.size());
         assertTrue(back.isClosed() && back.booking(2).isStopRequested() && back.allDone());
         assertNull(back.booking(1));
     }
