--- a/src/main/java/org/weldcourse/admission/ArrayAdmission.java
+++ b/src/main/java/org/weldcourse/admission/ArrayAdmission.java
@@ -23,7 +23,7 @@
     /** Whose arrays may go where, and what they may preempt: all that decides on their room but their size. */
     private record Kind(String team, JobSpec.Priority priority, List<String> types, String zone, boolean spot) {
         Kind(JobSpec spec) {
-            this(spec.team(), spec.priority(), spec.types(), spec.zone(), spec.allowsSpot());
+            this(spec.team(), spec.priority(), spec.machineTypes(), spec.zone(), spec.allowsSpot());
         }
     }
 
--- a/src/main/java/org/weldcourse/admission/CycleBookings.java
+++ b/src/main/java/org/weldcourse/admission/CycleBookings.java
@@ -58,7 +58,7 @@
         for (FreeCapacity capacity : capacities) {
             MachineView machine = capacity.machine;
             if (!isReservedAgainst(capacity, spec)
-                    && spec.allowsType(machine.type().name())
+                    && spec.allowsMachineType(machine.type().name())
                     && spec.allowsZone(machine.zone())
                     && (spec.allowsSpot() || !machine.spot())
                     && !job.excludedMachines().contains(machine.name())) {
--- a/src/main/java/org/weldcourse/admission/GangShape.java
+++ b/src/main/java/org/weldcourse/admission/GangShape.java
@@ -22,7 +22,7 @@
                 spec.cpus(),
                 spec.gpus(),
                 spec.memoryGb(),
-                spec.types(),
+                spec.machineTypes(),
                 spec.zone(),
                 spec.singleZone(),
                 spec.spreadAcrossZones(),
--- a/src/main/java/org/weldcourse/app/Controller.java
+++ b/src/main/java/org/weldcourse/app/Controller.java
@@ -183,7 +183,7 @@
     }
 
     /** Tells the peers of this node, and the election what is heard of them. */
-    private final class PeerEvents implements Peers.Node {
+    private final class PeerEvents implements Peers.LocalNode {
         @Override
         public PeerStatus status() {
             return new PeerStatus(
--- a/src/main/java/org/weldcourse/app/HeartbeatEndpoint.java
+++ b/src/main/java/org/weldcourse/app/HeartbeatEndpoint.java
@@ -41,7 +41,7 @@
         }
         Heartbeat heartbeat;
         try {
-            heartbeat = HeartbeatCodec.read(request.body());
+            heartbeat = HeartbeatCodec.decode(request.body());
         } catch (MalformedHeartbeatException malformed) {
             logFirst(malformed, request.body());
             reply.send(400, Json.of("error", "not a report"));
--- a/src/main/java/org/weldcourse/app/Node.java
+++ b/src/main/java/org/weldcourse/app/Node.java
@@ -13,7 +13,7 @@
 import org.weldcourse.http.NettyCaller;
 import org.weldcourse.http.Server;
 import org.weldcourse.leader.StandbyWarmUp;
-import org.weldcourse.peers.PeerNet;
+import org.weldcourse.peers.PeerConnections;
 import org.weldcourse.runtime.EventLoopTimers;
 import org.weldcourse.settings.OperatorSettings;
 import org.weldcourse.settings.Settings;
@@ -72,9 +72,9 @@
     /** Listens to users, workers and peers, and starts the controller. */
     public void start() throws InterruptedException {
         server.listen(settings.listenAddress());
-        PeerNet peerNet = new PeerNet(eventLoop, timers, controller.peers());
-        peerNet.listen(settings.peerAddress());
-        settings.peers().forEach(peerNet::sendHeartbeatsTo);
+        PeerConnections peerConnections = new PeerConnections(eventLoop, timers, controller.peers());
+        peerConnections.listen(settings.peerAddress());
+        settings.peers().forEach(peerConnections::sendHeartbeatsTo);
         eventLoop.execute(controller::start);
         eventLoop.schedule(this::startWarmUp, WARM_UP_AFTER_MICROS, TimeUnit.MICROSECONDS);
         LOG.info(
--- a/src/main/java/org/weldcourse/app/Readiness.java
+++ b/src/main/java/org/weldcourse/app/Readiness.java
@@ -46,7 +46,7 @@
      * node can't tell an outage from being cut off, and has to assume the latter.
      */
     boolean isStoreOutageShared() {
-        return settings.peers().isEmpty() || peers.storeAccess() == Peers.StoreAccess.REFUSED;
+        return settings.peers().isEmpty() || peers.storeAccess() == Peers.StoreAccess.UNAVAILABLE;
     }
 
     /** Whether this node serves users as a follower, which is what a leader would leave them to. */
@@ -60,7 +60,7 @@
      */
     void handle(Reply reply) {
         Optional<String> why = whyUnableToServe();
-        if (why.isEmpty() && election.isLeader() && peers.serveUsers()) {
+        if (why.isEmpty() && election.isLeader() && peers.anyPeerServesUsers()) {
             why = Optional.of("leads, and the others serve users");
         }
         if (why.isEmpty()) {
--- a/src/main/java/org/weldcourse/app/StatusLogTask.java
+++ b/src/main/java/org/weldcourse/app/StatusLogTask.java
@@ -25,7 +25,7 @@
     protected long step() {
         LOG.info("version {}, {}", Main.VERSION, processMetrics.takeSummary());
         if (!jobs.requestMetrics().isEmpty()) {
-            LOG.info("{}", jobs.requestMetrics().take());
+            LOG.info("{}", jobs.requestMetrics().summarizeAndReset());
         }
         return STATUS_MICROS;
     }
--- a/src/main/java/org/weldcourse/cluster/ClusterState.java
+++ b/src/main/java/org/weldcourse/cluster/ClusterState.java
@@ -178,7 +178,7 @@
         }
         forgetUnbookedTasks(machine);
         for (TaskStatus task : tasks) {
-            Job job = knownJob(task.id().job());
+            Job job = knownJob(task.id().jobId());
             machine.unbookedTaskJobs.add(Optional.ofNullable(job));
             if (job == null) {
                 tasksOfUnknownJobs++;
--- a/src/main/java/org/weldcourse/fleet/MachineType.java
+++ b/src/main/java/org/weldcourse/fleet/MachineType.java
@@ -29,7 +29,7 @@
 
     /** Whether one task could ever run on an empty machine of this type. */
     public boolean fits(JobSpec job) {
-        if (!job.allowsType(name)
+        if (!job.allowsMachineType(name)
                 || job.cpus() > cpus + EPSILON
                 || job.gpus() > gpus + EPSILON
                 || job.memoryGb() > memoryGb + EPSILON) {
--- a/src/main/java/org/weldcourse/jobs/JobCancellation.java
+++ b/src/main/java/org/weldcourse/jobs/JobCancellation.java
@@ -52,7 +52,7 @@
         JobRecordCodec.setCancelled(record);
         if (Json.bytes(record).length > maxRecordBytes) {
             // Accepted under larger limits: what places its tasks is not needed any more.
-            JobRecordCodec.shorten(record);
+            JobRecordCodec.clearFieldsUnneededAfterCancellation(record);
         }
         Transaction txn = new Transaction()
                 .ifModRevision(StoreKeys.openJob(id), openJob.modRevision())
--- a/src/main/java/org/weldcourse/jobs/JobRecordCodec.java
+++ b/src/main/java/org/weldcourse/jobs/JobRecordCodec.java
@@ -50,7 +50,7 @@
     }
 
     /** Leaves out of a record what is not needed to end a job that starts nothing more; its team and size are, for the quota. */
-    public static void shorten(Map<String, Object> record) {
+    public static void clearFieldsUnneededAfterCancellation(Map<String, Object> record) {
         record.put("rigs", null);
         record.put("course", LEFT_OUT);
         record.put("blank", LEFT_OUT);
--- a/src/main/java/org/weldcourse/jobs/JobSpec.java
+++ b/src/main/java/org/weldcourse/jobs/JobSpec.java
@@ -17,7 +17,7 @@
  * @param memoryGb what each task takes of its machine
  * @param image what a machine has to have before a task can start there
  * @param imageGb the size of the image
- * @param types the machine types that its tasks may run on, or null for any
+ * @param machineTypes the machine types that its tasks may run on, or null for any
  * @param zone the only zone that its tasks may run in, or null for any
  * @param singleZone whether all tasks have to be in the same zone
  * @param spreadAcrossZones whether at most half of the tasks, rounded up, may be in one zone
@@ -39,7 +39,7 @@
         double memoryGb,
         String image,
         double imageGb,
-        List<String> types,
+        List<String> machineTypes,
         String zone,
         boolean singleZone,
         boolean spreadAcrossZones,
@@ -93,8 +93,8 @@
     }
 
     /** Whether its tasks may go to machines of this type. */
-    public boolean allowsType(String type) {
-        return types == null || types.contains(type);
+    public boolean allowsMachineType(String type) {
+        return machineTypes == null || machineTypes.contains(type);
     }
 
     /** Whether its tasks may go to this zone. */
--- a/src/main/java/org/weldcourse/jobs/JobSpecCodec.java
+++ b/src/main/java/org/weldcourse/jobs/JobSpecCodec.java
@@ -91,7 +91,7 @@
         body.put("mem_gb", spec.memoryGb());
         body.put("blank", spec.image());
         body.put("size_gb", spec.imageGb());
-        body.put("rigs", spec.types());
+        body.put("rigs", spec.machineTypes());
         body.put("yard", spec.zone());
         body.put("together", spec.singleZone());
         body.put("apart", spec.spreadAcrossZones());
--- a/src/main/java/org/weldcourse/jobs/OpenJobsView.java
+++ b/src/main/java/org/weldcourse/jobs/OpenJobsView.java
@@ -110,14 +110,14 @@
 
     private void jobChanged(String key, Map<String, Object> value) {
         if (value == null) {
-            cancelledByJob.remove(StoreKeys.jobOf(key));
+            cancelledByJob.remove(StoreKeys.jobId(key));
         } else {
-            cancelledByJob.put(StoreKeys.jobOf(key), JobRecordCodec.isCancelled(value));
+            cancelledByJob.put(StoreKeys.jobId(key), JobRecordCodec.isCancelled(value));
         }
     }
 
     private void admissionChanged(String key, Map<String, Object> value) {
-        String id = StoreKeys.jobOf(key);
+        String id = StoreKeys.jobId(key);
         Map<String, Integer> tasksByRecord = admittedTasksByRecordByJob.computeIfAbsent(id, job -> new HashMap<>());
         if (value == null) {
             tasksByRecord.remove(key);
--- a/src/main/java/org/weldcourse/jobs/RequestMetrics.java
+++ b/src/main/java/org/weldcourse/jobs/RequestMetrics.java
@@ -25,7 +25,7 @@
     }
 
     /** One line about the requests since the last call, of which there is at least one; counting begins anew. */
-    public String take() {
+    public String summarizeAndReset() {
         String line = latencyMicros.getTotalCount() + " user requests, latency p50 " + millis(50) + " ms, p99 "
                 + millis(99) + " ms, " + refused + " refused";
         latencyMicros.reset();
--- a/src/main/java/org/weldcourse/jobs/StoreKeys.java
+++ b/src/main/java/org/weldcourse/jobs/StoreKeys.java
@@ -49,12 +49,12 @@
     }
 
     /** The number that ends a key of an admission or of a shard of finished tasks. */
-    public static int numberOf(String key) {
+    public static int recordNumber(String key) {
         return Integer.parseInt(key.substring(key.lastIndexOf('/') + 1));
     }
 
     /** The job that a key under one of the prefixes above belongs to. */
-    public static String jobOf(String key) {
+    public static String jobId(String key) {
         int from = key.indexOf('/') + 1;
         int to = key.indexOf('/', from);
         return to < 0 ? key.substring(from) : key.substring(from, to);
--- a/src/main/java/org/weldcourse/leader/HeartbeatHandler.java
+++ b/src/main/java/org/weldcourse/leader/HeartbeatHandler.java
@@ -58,15 +58,19 @@
         boolean unknownMachine =
                 heartbeat.fencingToken() != fencingToken && !cluster.machines.containsKey(heartbeat.machine());
         if (!recovery.isComplete() || unknownMachine || autoscaler.isDeleted(heartbeat.machine())) {
-            reply.send(200, CommandCodec.answer(fencingToken, commands.stopsOfCancelled(heartbeat)));
+            reply.send(
+                    200,
+                    CommandCodec.encodeHeartbeatResponse(
+                            fencingToken, commands.stopCommandsForCancelledTasks(heartbeat)));
             return;
         }
         Machine machine = cluster.getOrAddMachine(heartbeat.machine(), nowMicros);
         if (machine.type == null) {
-            machine.type = dependencies.machineTypes().byName(heartbeat.type()).orElse(null);
+            machine.type =
+                    dependencies.machineTypes().byName(heartbeat.machineType()).orElse(null);
         }
         Reconciler.Result result = reconciler.reconcile(machine, heartbeat, mayStartTasks(nowMicros), nowMicros);
-        reply.send(200, CommandCodec.answer(fencingToken, result.commands()));
+        reply.send(200, CommandCodec.encodeHeartbeatResponse(fencingToken, result.commands()));
         if (result.changed()) {
             onChange.run();
         }
--- a/src/main/java/org/weldcourse/leader/SyntheticCluster.java
+++ b/src/main/java/org/weldcourse/leader/SyntheticCluster.java
@@ -152,13 +152,13 @@
     void handleHeartbeat(Request request, Reply reply) {
         Heartbeat heartbeat;
         try {
-            heartbeat = HeartbeatCodec.read(request.body());
+            heartbeat = HeartbeatCodec.decode(request.body());
         } catch (MalformedHeartbeatException impossible) {
             throw new IllegalStateException(impossible);
         }
         Reconciler.Result result =
                 reconciler.reconcile(state.getOrAddMachine(heartbeat.machine(), nowMicros), heartbeat, true, nowMicros);
-        reply.send(200, CommandCodec.answer(FENCING_TOKEN, result.commands()));
+        reply.send(200, CommandCodec.encodeHeartbeatResponse(FENCING_TOKEN, result.commands()));
     }
 
     /** Runs one admission cycle and plans the scale-out that follows from it. */
@@ -184,8 +184,8 @@
         }
         planScaleOut(decisions);
         for (Machine machine : state.machines.values()) {
-            commands.needsPromptHeartbeat(machine);
-            commands.promptingForget(machine);
+            commands.needsHeartbeatPrompt(machine);
+            commands.heartbeatPromptCommand(machine);
         }
     }
 
--- a/src/main/java/org/weldcourse/peers/PeerNet.java
+++ b/src/main/java/org/weldcourse/peers/PeerConnections.java
@@ -28,7 +28,7 @@
  * on it every 0.4 s; what it hears comes in on the connections that the others hold to it. All routines run on the one
  * event loop given.
  */
-public final class PeerNet {
+public final class PeerConnections {
     private static final long HEARTBEAT_MICROS = 400_000;
     private static final long SILENCE_MICROS = 25 * HEARTBEAT_MICROS;
     private static final int CONNECT_TIMEOUT_MILLIS = 1_000;
@@ -42,7 +42,7 @@
     private final Peers peers;
 
     /** The connections between this node and its peers. */
-    public PeerNet(EventLoop loop, Clock clock, Peers peers) {
+    public PeerConnections(EventLoop loop, Clock clock, Peers peers) {
         this.loop = loop;
         this.clock = clock;
         this.peers = peers;
@@ -91,7 +91,7 @@
                 for (PeerStatus status = PeerStatus.decode(gathered);
                         status != null;
                         status = PeerStatus.decode(gathered)) {
-                    peers.heard(status);
+                    peers.heartbeatReceived(status);
                 }
                 gathered.compact();
             }
@@ -172,7 +172,8 @@
             if (channel.isActive()) {
                 // One that does not read is told nothing more until it does: its status would only be old.
                 if (channel.isWritable()) {
-                    channel.writeAndFlush(Unpooled.wrappedBuffer(peers.own().encode()));
+                    channel.writeAndFlush(
+                            Unpooled.wrappedBuffer(peers.ownStatus().encode()));
                 }
                 loop.schedule(() -> sendHeartbeats(channel), HEARTBEAT_MICROS, TimeUnit.MICROSECONDS);
             }
--- a/src/main/java/org/weldcourse/peers/PeerStatus.java
+++ b/src/main/java/org/weldcourse/peers/PeerStatus.java
@@ -9,7 +9,7 @@
  * not the leader. A frame is its length (two bytes, big-endian, not counting themselves), a version byte, a byte of
  * flags, the fencing token (eight bytes) and the name in UTF-8.
  */
-public record PeerStatus(String name, long fencingToken, boolean leads, boolean reachesStore, boolean servesUsers) {
+public record PeerStatus(String name, long fencingToken, boolean isLeader, boolean reachesStore, boolean servesUsers) {
     /** The longest frame that is accepted, in bytes, not counting the two of its length. */
     public static final int MAX_FRAME_BYTES = 300;
 
@@ -25,7 +25,8 @@
         ByteBuffer frame = ByteBuffer.allocate(Short.BYTES + HEAD_BYTES + text.length);
         frame.putShort((short) (HEAD_BYTES + text.length));
         frame.put(VERSION);
-        frame.put((byte) ((leads ? LEADS : 0) | (reachesStore ? REACHES_STORE : 0) | (servesUsers ? SERVES_USERS : 0)));
+        frame.put((byte)
+                ((isLeader ? LEADS : 0) | (reachesStore ? REACHES_STORE : 0) | (servesUsers ? SERVES_USERS : 0)));
         frame.putLong(fencingToken);
         frame.put(text);
         return frame.flip();
--- a/src/main/java/org/weldcourse/peers/Peers.java
+++ b/src/main/java/org/weldcourse/peers/Peers.java
@@ -15,8 +15,8 @@
     private static final long FOUND_MICROS = 15_000_000;
 
     private final Clock clock;
-    private final Node node;
-    private final Map<String, Heard> heard = new HashMap<>();
+    private final LocalNode node;
+    private final Map<String, Heard> heartbeatReceived = new HashMap<>();
 
     /** {@code servesSinceMicros}: since when it has said without a pause that it serves users, or -1. */
     private record Heard(PeerStatus status, long atMicros, long servesSinceMicros) {
@@ -30,7 +30,7 @@
     }
 
     /** The node that speaks and listens. */
-    public interface Node {
+    public interface LocalNode {
         /** This node's own status. */
         PeerStatus status();
 
@@ -42,26 +42,26 @@
     }
 
     /** A view of peers of which nothing is known yet. */
-    public Peers(Clock clock, Node node) {
+    public Peers(Clock clock, LocalNode node) {
         this.clock = clock;
         this.node = node;
     }
 
     /** What this node tells the others. */
-    public PeerStatus own() {
+    public PeerStatus ownStatus() {
         return node.status();
     }
 
     /** Takes in a peer's heartbeat. */
-    public void heard(PeerStatus status) {
+    public void heartbeatReceived(PeerStatus status) {
         long nowMicros = clock.nowMicros();
-        Heard before = heard.get(status.name());
+        Heard before = heartbeatReceived.get(status.name());
         boolean goesOn = before != null && before.servesUsersAt(nowMicros);
-        heard.put(
+        heartbeatReceived.put(
                 status.name(),
                 new Heard(
                         status, nowMicros, !status.servesUsers() ? -1 : goesOn ? before.servesSinceMicros : nowMicros));
-        if (status.leads()) {
+        if (status.isLeader()) {
             node.peerIsLeader(status.name(), status.fencingToken());
         }
     }
@@ -71,16 +71,16 @@
      * a leader that lives would be deposed for nothing, and its lease tells soon enough.
      */
     public void connectionsRefused(String name) {
-        heard.remove(name);
-        if (heard.isEmpty() || storeAccess() != StoreAccess.NO_PEER_HEARD) {
+        heartbeatReceived.remove(name);
+        if (heartbeatReceived.isEmpty() || storeAccess() != StoreAccess.UNKNOWN) {
             node.peerProcessEnded(name);
         }
     }
 
     /** Whether one of the others has served users for so long that they should find it. */
-    public boolean serveUsers() {
+    public boolean anyPeerServesUsers() {
         long nowMicros = clock.nowMicros();
-        for (Heard one : heard.values()) {
+        for (Heard one : heartbeatReceived.values()) {
             if (one.servesUsersAt(nowMicros) && nowMicros - one.servesSinceMicros >= FOUND_MICROS) {
                 return true;
             }
@@ -91,22 +91,22 @@
     /** What the others' fresh heartbeats say of the store. */
     public enum StoreAccess {
         /** It serves one of them. */
-        SERVED,
+        AVAILABLE,
         /** It serves none of those that are heard. */
-        REFUSED,
+        UNAVAILABLE,
         /** No peer is heard. */
-        NO_PEER_HEARD
+        UNKNOWN
     }
 
     /** What the peers' fresh heartbeats say of the store. */
     public StoreAccess storeAccess() {
-        StoreAccess access = StoreAccess.NO_PEER_HEARD;
-        for (Heard one : heard.values()) {
+        StoreAccess access = StoreAccess.UNKNOWN;
+        for (Heard one : heartbeatReceived.values()) {
             if (one.isFreshAt(clock.nowMicros())) {
                 if (one.status.reachesStore()) {
-                    return StoreAccess.SERVED;
+                    return StoreAccess.AVAILABLE;
                 }
-                access = StoreAccess.REFUSED;
+                access = StoreAccess.UNAVAILABLE;
             }
         }
         return access;
--- a/src/main/java/org/weldcourse/persistence/FailoverRecovery.java
+++ b/src/main/java/org/weldcourse/persistence/FailoverRecovery.java
@@ -96,7 +96,7 @@
         List<Store.Entry> records = new ArrayList<>(admissions);
         records.addAll(finishedTasks);
         for (Store.Entry entry : records) {
-            String id = StoreKeys.jobOf(entry.key());
+            String id = StoreKeys.jobId(entry.key());
             Job job = cluster.jobs.get(id);
             if (job != null) {
                 noteIfUnreadable(job, entry, () -> restorer.restore(job, entry));
@@ -108,7 +108,7 @@
         }
         // Only now, since what has finished is not booked again, whichever record says so.
         for (Store.Entry entry : admissions) {
-            Job job = cluster.jobs.get(StoreKeys.jobOf(entry.key()));
+            Job job = cluster.jobs.get(StoreKeys.jobId(entry.key()));
             if (job != null) {
                 noteIfUnreadable(job, entry, () -> restoreBookings(job, entry));
             }
--- a/src/main/java/org/weldcourse/persistence/FinishedTaskLayout.java
+++ b/src/main/java/org/weldcourse/persistence/FinishedTaskLayout.java
@@ -69,6 +69,7 @@
 
     /** The first task that a shard of whatever version speaks of. */
     int firstTask(Store.Entry shard) {
-        return FinishedTasksCodec.firstTask(shard.value(), (long) StoreKeys.numberOf(shard.key()) * plainShardTasks);
+        return FinishedTasksCodec.firstTask(
+                shard.value(), (long) StoreKeys.recordNumber(shard.key()) * plainShardTasks);
     }
 }
--- a/src/main/java/org/weldcourse/persistence/OpenJobsWatch.java
+++ b/src/main/java/org/weldcourse/persistence/OpenJobsWatch.java
@@ -89,7 +89,7 @@
         for (Store.Entry entry : open.entries()) {
             jobRead(entry.key(), entry.value(), entry.modRevision());
         }
-        renewals.openJobsReadAsOf(sentMicros);
+        renewals.recordOpenJobsRead(sentMicros);
         readUpTo(open.revision());
     }
 
@@ -120,7 +120,7 @@
                 jobRead(event.key(), event.value(), event.modRevision());
             }
         }
-        renewals.openJobsReadAsOf(sentMicros);
+        renewals.recordOpenJobsRead(sentMicros);
         readUpTo(events.revision());
     }
 
@@ -184,7 +184,7 @@
     }
 
     private void jobRead(String key, Map<String, Object> value, long version) {
-        String id = StoreKeys.jobOf(key);
+        String id = StoreKeys.jobId(key);
         Job job = cluster.jobs.get(id);
         if (job == null && cluster.outstandingJobs.containsKey(id)) {
             // The watch lags behind the job's end.
--- a/src/main/java/org/weldcourse/persistence/OutstandingRecord.java
+++ b/src/main/java/org/weldcourse/persistence/OutstandingRecord.java
@@ -27,7 +27,7 @@
         AdmittedTasks admitted = new AdmittedTasks();
         job.bookings().forEach(booking -> admitted.add(booking.machine().name, booking.attempt(), booking.task()));
         Map<String, Object> record = JobRecordCodec.encode(job.spec(), 0, job.isCancelled());
-        JobRecordCodec.shorten(record);
+        JobRecordCodec.clearFieldsUnneededAfterCancellation(record);
         record.putAll(AdmissionRecordCodec.encode(admitted, job.lastAttempt(), 0, null));
         return Json.bytes(record).length <= mostBytes ? record : null;
     }
--- a/src/main/java/org/weldcourse/quota/enforcement/LedgerQuotaEnforcement.java
+++ b/src/main/java/org/weldcourse/quota/enforcement/LedgerQuotaEnforcement.java
@@ -212,7 +212,7 @@
     }
 
     @Override
-    public boolean isExceeded(String team) {
+    public boolean isLimitExceeded(String team) {
         return monitor.isOver(team, cluster.quotaUsage::usedBy);
     }
 
--- a/src/main/java/org/weldcourse/quota/enforcement/QuotaEnforcement.java
+++ b/src/main/java/org/weldcourse/quota/enforcement/QuotaEnforcement.java
@@ -50,7 +50,7 @@
     ResourceAmount limit(String team);
 
     @Override
-    default String limitText(String team) {
+    default String describeLimit(String team) {
         return limit(team).toString();
     }
 
--- a/src/main/java/org/weldcourse/quota/enforcement/SettingsQuotaEnforcement.java
+++ b/src/main/java/org/weldcourse/quota/enforcement/SettingsQuotaEnforcement.java
@@ -75,7 +75,7 @@
     }
 
     @Override
-    public boolean isExceeded(String team) {
+    public boolean isLimitExceeded(String team) {
         return QuotaInvariant.isExceeded(limit(team), cluster.quotaUsage.usedBy(team));
     }
 
@@ -89,7 +89,7 @@
         StringBuilder text = new StringBuilder();
         for (Settings.Team team : settings.teams()) {
             String name = team.name();
-            if (isExceeded(name)) {
+            if (isLimitExceeded(name)) {
                 text.append(OverQuotaText.ofTeam(name, cluster.quotaUsage.usedBy(name), limit(name)))
                         .append("; ");
             }
--- a/src/main/java/org/weldcourse/workers/CommandCodec.java
+++ b/src/main/java/org/weldcourse/workers/CommandCodec.java
@@ -10,12 +10,13 @@
     private CommandCodec() {}
 
     /** The answer to a heartbeat, which renews the worker's lease if the token is not older than one that it has seen. */
-    public static Map<String, Object> answer(long fencingToken, List<WorkerCommand> commands) {
+    public static Map<String, Object> encodeHeartbeatResponse(long fencingToken, List<WorkerCommand> commands) {
         return Json.of("torch", fencingToken, "orders", encode(commands));
     }
 
     /** A direct message with commands, which hold only for this incarnation of the worker. */
-    public static Map<String, Object> direct(long fencingToken, long incarnation, List<WorkerCommand> commands) {
+    public static Map<String, Object> encodeDirectMessage(
+            long fencingToken, long incarnation, List<WorkerCommand> commands) {
         return Json.of("torch", fencingToken, "shift", incarnation, "orders", encode(commands));
     }
 
--- a/src/main/java/org/weldcourse/workers/CommandSelector.java
+++ b/src/main/java/org/weldcourse/workers/CommandSelector.java
@@ -42,10 +42,10 @@
      * For an answer to a heartbeat that teaches nothing: it renews the worker's lease all the same, and no renewal may
      * carry a cancelled task along. To stop an attempt of a cancelled job is right however old the heartbeat.
      */
-    public List<WorkerCommand> stopsOfCancelled(Heartbeat heartbeat) {
+    public List<WorkerCommand> stopCommandsForCancelledTasks(Heartbeat heartbeat) {
         List<WorkerCommand> commands = new ArrayList<>();
         for (TaskStatus task : heartbeat.tasks()) {
-            Job job = cluster.jobs.get(task.id().job());
+            Job job = cluster.jobs.get(task.id().jobId());
             if (job != null
                     && job.isCancelled()
                     && task.state() != TaskState.EXITED
@@ -58,7 +58,7 @@
 
     /**
      * Exits that are on record, so that no leader will ever start these attempts again. The last one is kept back, to
-     * prompt a heartbeat with it ({@link #promptingForget}).
+     * prompt a heartbeat with it ({@link #heartbeatPromptCommand}).
      */
     private void addForgets(Machine machine, List<WorkerCommand> commands) {
         List<WorkerCommand> forgets = forgets(machine);
@@ -147,7 +147,7 @@
     }
 
     /** Whether something waits to be started there that only an answer to the machine's next heartbeat would bring. */
-    public boolean needsPromptHeartbeat(Machine machine) {
+    public boolean needsHeartbeatPrompt(Machine machine) {
         for (Booking booking : machine.bookings.values()) {
             if (booking.isPersisted()
                     && !booking.isReported()
@@ -163,7 +163,7 @@
      * A command that makes the worker send a heartbeat at once, if there is one: to forget an exited task is a change,
      * and only a heartbeat can be answered with a start.
      */
-    public Optional<WorkerCommand> promptingForget(Machine machine) {
+    public Optional<WorkerCommand> heartbeatPromptCommand(Machine machine) {
         List<WorkerCommand> forgets = forgets(machine);
         return forgets.isEmpty() ? Optional.empty() : Optional.of(forgets.get(forgets.size() - 1));
     }
@@ -171,7 +171,7 @@
     private List<WorkerCommand> forgets(Machine machine) {
         List<WorkerCommand> forgets = new ArrayList<>();
         for (TaskStatus task : machine.exitedTasks) {
-            Job job = cluster.jobs.get(task.id().job());
+            Job job = cluster.jobs.get(task.id().jobId());
             if (job == null || job.mayForget(task.id().index(), task.attempt())) {
                 forgets.add(WorkerCommand.forget(task.id(), task.attempt()));
             }
--- a/src/main/java/org/weldcourse/workers/DirectCommands.java
+++ b/src/main/java/org/weldcourse/workers/DirectCommands.java
@@ -58,10 +58,10 @@
     }
 
     private List<WorkerCommand> commands(Machine machine, boolean overloaded) {
-        machine.hasUnsentCommands = selector.needsPromptHeartbeat(machine);
+        machine.hasUnsentCommands = selector.needsHeartbeatPrompt(machine);
         List<WorkerCommand> commands = new ArrayList<>();
         if (machine.hasUnsentCommands && !overloaded) {
-            selector.promptingForget(machine).ifPresent(commands::add);
+            selector.heartbeatPromptCommand(machine).ifPresent(commands::add);
         }
         for (Booking booking : machine.bookings.values()) {
             if (commands.size() >= CommandSelector.MAX_COMMANDS) {
@@ -83,7 +83,7 @@
                         machine.address,
                         "POST",
                         "/orders",
-                        CommandCodec.direct(fencingToken, machine.incarnation, commands),
+                        CommandCodec.encodeDirectMessage(fencingToken, machine.incarnation, commands),
                         TIMEOUT_MICROS),
                 answer -> {
                     machine.directCommandsInFlight = false;
--- a/src/main/java/org/weldcourse/workers/Heartbeat.java
+++ b/src/main/java/org/weldcourse/workers/Heartbeat.java
@@ -7,7 +7,7 @@
  *
  * @param machine the machine's name
  * @param address where the worker takes direct commands, as {@code host:port}; null when it does not say
- * @param type the name of the machine type; null when it does not say
+ * @param machineType the name of the machine type; null when it does not say
  * @param zone the machine's zone; null when it does not say
  * @param spot whether the cloud may reclaim the machine
  * @param incarnation from 1 on; goes up each time that the worker's lease expires, when it ends all its tasks
@@ -19,7 +19,7 @@
 public record Heartbeat(
         String machine,
         String address,
-        String type,
+        String machineType,
         String zone,
         boolean spot,
         long incarnation,
--- a/src/main/java/org/weldcourse/workers/HeartbeatCodec.java
+++ b/src/main/java/org/weldcourse/workers/HeartbeatCodec.java
@@ -36,7 +36,7 @@
      * @throws MalformedHeartbeatException if the body is no JSON object, lacks the machine's name, its incarnation or
      *     the sequence number, or lists something that is no task: then the list as a whole shows nothing
      */
-    public static Heartbeat read(byte[] body) throws MalformedHeartbeatException {
+    public static Heartbeat decode(byte[] body) throws MalformedHeartbeatException {
         try (JsonParser in = Json.reader(body)) {
             return new HeartbeatCodec(in).heartbeat();
         } catch (IOException malformed) {
--- a/src/main/java/org/weldcourse/workers/Reconciler.java
+++ b/src/main/java/org/weldcourse/workers/Reconciler.java
@@ -56,7 +56,7 @@
         if (heartbeat.fencingToken() != fencingToken) {
             // Older than this term, if only by the way it took: it may speak of a machine long gone. The answer
             // brings our token, and what the worker then says counts.
-            return new Result(commands.stopsOfCancelled(heartbeat), false);
+            return new Result(commands.stopCommandsForCancelledTasks(heartbeat), false);
         }
         if (heartbeat.incarnation() > machine.incarnation) {
             answerLoss.incarnationBegan(machine, nowMicros);
--- a/src/main/java/org/weldcourse/workers/StartAuthorization.java
+++ b/src/main/java/org/weldcourse/workers/StartAuthorization.java
@@ -31,10 +31,10 @@
         boolean isOverbooked(String team);
 
         /** Whether all that counts against the team's limit exceeds it. */
-        boolean isExceeded(String team);
+        boolean isLimitExceeded(String team);
 
         /** The team's limit, for logs. */
-        String limitText(String team);
+        String describeLimit(String team);
     }
 
     /** Authorizes the starts of one leader term; {@code counts} outlives it. */
@@ -84,7 +84,7 @@
 
     private boolean isWithinLimit(Booking booking, long nowMicros) {
         String team = booking.job().spec().team();
-        if (!quotas.isExceeded(team)) {
+        if (!quotas.isLimitExceeded(team)) {
             return true;
         }
         if (quotas.isOverbooked(team)) {
@@ -138,6 +138,6 @@
     private String usageText(String team) {
         QuotaUsage usage = cluster.quotaUsage;
         return "team " + team + " has " + usage.bookedBy(team) + " booked and " + usage.unbookedBy(team)
-                + " besides, of " + quotas.limitText(team);
+                + " besides, of " + quotas.describeLimit(team);
     }
 }
--- a/src/main/java/org/weldcourse/workers/TaskId.java
+++ b/src/main/java/org/weldcourse/workers/TaskId.java
@@ -1,7 +1,7 @@
 package org.weldcourse.workers;
 
 /** A task of a job; on the wire {@code req-000412/3}. */
-public record TaskId(String job, int index) {
+public record TaskId(String jobId, int index) {
 
     /**
      * The task that the text names.
@@ -23,16 +23,16 @@
     // Written out: the ones that records get are slow without the optimizing compiler, and every heartbeat needs them.
     @Override
     public int hashCode() {
-        return job.hashCode() * 31 + index;
+        return jobId.hashCode() * 31 + index;
     }
 
     @Override
     public boolean equals(Object other) {
-        return other instanceof TaskId task && task.index == index && task.job.equals(job);
+        return other instanceof TaskId task && task.index == index && task.jobId.equals(jobId);
     }
 
     @Override
     public String toString() {
-        return job + "/" + index;
+        return jobId + "/" + index;
     }
 }
--- a/src/main/java/org/weldcourse/workers/WorkerLeaseRenewalBound.java
+++ b/src/main/java/org/weldcourse/workers/WorkerLeaseRenewalBound.java
@@ -35,7 +35,7 @@
     }
 
     /** All changes to open jobs up to this time are known: that of the sending of a read which was answered whole. */
-    public void openJobsReadAsOf(long sentMicros) {
+    public void recordOpenJobsRead(long sentMicros) {
         readMicros = Math.max(readMicros, sentMicros);
     }
 
--- a/src/test/java/org/weldcourse/peers/PeersTest.java
+++ b/src/test/java/org/weldcourse/peers/PeersTest.java
@@ -81,7 +81,7 @@
         world.clock.passSeconds(2);
         String old = world.leader();
         world.cutFromStore(old);
-        world.controller(old).peers().heard(new PeerStatus("nx", 99, true, true, false));
+        world.controller(old).peers().heartbeatReceived(new PeerStatus("nx", 99, true, true, false));
         assertFalse(world.controller(old).leads());
     }
 
--- a/src/test/java/org/weldcourse/quota/QuotaHistoryChecker.java
+++ b/src/test/java/org/weldcourse/quota/QuotaHistoryChecker.java
@@ -117,7 +117,7 @@
     }
 
     private void jobWritten(Written change) {
-        String id = StoreKeys.jobOf(change.key());
+        String id = StoreKeys.jobId(change.key());
         if (change.value() == null) {
             openJobs.remove(id);
             return;
@@ -150,7 +150,7 @@
     }
 
     private void admissionWritten(Written change) {
-        String id = StoreKeys.jobOf(change.key());
+        String id = StoreKeys.jobId(change.key());
         admittedJobs.add(id);
         AdmissionRecordCodec.visit(change.value(), (machine, attempt, first, last) -> {
             for (int task = first; task <= last; task++) {
--- a/src/test/java/org/weldcourse/simulation/SimulatedControllers.java
+++ b/src/test/java/org/weldcourse/simulation/SimulatedControllers.java
@@ -125,8 +125,8 @@
                         && !processes.get(sender).isPaused()) {
                     Controller from = controllers.get(sender);
                     Controller to = controllers.get(receiver);
-                    PeerStatus status = from.peers().own();
-                    processes.get(receiver).run(() -> to.peers().heard(status));
+                    PeerStatus status = from.peers().ownStatus();
+                    processes.get(receiver).run(() -> to.peers().heartbeatReceived(status));
                 }
             }
         }
--- a/src/test/java/org/weldcourse/workers/CommandCodecTest.java
+++ b/src/test/java/org/weldcourse/workers/CommandCodecTest.java
@@ -23,7 +23,7 @@
         String orders = "\"orders\":[{\"order\":\"forget\",\"bead\":\"req-000001/3\",\"strike\":1},"
                 + "{\"order\":\"halt\",\"bead\":\"req-000001/3\",\"strike\":2,\"cooldown_s\":1.5},"
                 + "{\"order\":\"run\",\"bead\":\"req-000001/3\",\"strike\":3}]}";
-        assertEquals("{\"torch\":7," + orders, text(CommandCodec.answer(7, commands)));
-        assertEquals("{\"torch\":7,\"shift\":2," + orders, text(CommandCodec.direct(7, 2, commands)));
+        assertEquals("{\"torch\":7," + orders, text(CommandCodec.encodeHeartbeatResponse(7, commands)));
+        assertEquals("{\"torch\":7,\"shift\":2," + orders, text(CommandCodec.encodeDirectMessage(7, 2, commands)));
     }
 }
--- a/src/test/java/org/weldcourse/workers/HeartbeatCodecTest.java
+++ b/src/test/java/org/weldcourse/workers/HeartbeatCodecTest.java
@@ -39,7 +39,7 @@
 
     private static void assertMalformed(String why, byte[] body) {
         MalformedHeartbeatException malformed =
-                assertThrows(MalformedHeartbeatException.class, () -> HeartbeatCodec.read(body));
+                assertThrows(MalformedHeartbeatException.class, () -> HeartbeatCodec.decode(body));
         assertEquals(why, malformed.getMessage());
     }
 
@@ -71,9 +71,9 @@
                 List.of(
                         new TaskStatus(new TaskId("req-000001", 3), 2, TaskState.EXITED, ExitCause.FAILED),
                         new TaskStatus(new TaskId("req-000001", 4), 1, TaskState.SAVING_CHECKPOINT, null)));
-        assertEquals(expected, HeartbeatCodec.read(Json.bytes(body)));
+        assertEquals(expected, HeartbeatCodec.decode(Json.bytes(body)));
         body.put("recall_s", 1.5);
-        assertEquals(1_500_000, HeartbeatCodec.read(Json.bytes(body)).reclaimNoticeMicros());
+        assertEquals(1_500_000, HeartbeatCodec.decode(Json.bytes(body)).reclaimNoticeMicros());
     }
 
     @ParameterizedTest
@@ -90,7 +90,7 @@
     void exitCausesHaveTheirNames(String cause, ExitCause expected) throws Exception {
         Map<String, Object> body = wire(List.of(Json.of("bead", "req-000001/3", "heat", "exited", "cause", cause)));
         assertEquals(
-                expected, HeartbeatCodec.read(Json.bytes(body)).tasks().get(0).cause());
+                expected, HeartbeatCodec.decode(Json.bytes(body)).tasks().get(0).cause());
     }
 
     @Test
--- a/src/test/java/org/weldcourse/workers/ReconcilerTest.java
+++ b/src/test/java/org/weldcourse/workers/ReconcilerTest.java
@@ -23,12 +23,12 @@
         }
 
         @Override
-        public boolean isExceeded(String team) {
+        public boolean isLimitExceeded(String team) {
             return false;
         }
 
         @Override
-        public String limitText(String team) {
+        public String describeLimit(String team) {
             return "any";
         }
     };
--- a/src/test/java/org/weldcourse/workers/StartAuthorizationTest.java
+++ b/src/test/java/org/weldcourse/workers/StartAuthorizationTest.java
@@ -38,12 +38,12 @@
                 }
 
                 @Override
-                public boolean isExceeded(String team) {
+                public boolean isLimitExceeded(String team) {
                     return QuotaInvariant.isExceeded(LIMIT, cluster.quotaUsage.usedBy(team));
                 }
 
                 @Override
-                public String limitText(String team) {
+                public String describeLimit(String team) {
                     return LIMIT.toString();
                 }
             },
--- a/src/test/java/org/weldcourse/workers/WorkerLeaseRenewalBoundTest.java
+++ b/src/test/java/org/weldcourse/workers/WorkerLeaseRenewalBoundTest.java
@@ -21,7 +21,7 @@
     @Test
     void theLastRenewalLeavesTimeForWhatWasConfirmedJustAfterTheRead() {
         long readMicros = 5_000_000;
-        bound.openJobsReadAsOf(readMicros);
+        bound.recordOpenJobsRead(readMicros);
         long lastMicros = readMicros + 35_000_000 - 10_000_000 - WorkerLeaseRenewalBound.MARGIN_MICROS - 1;
         assertTrue(bound.mayRenewAt(lastMicros));
         assertFalse(bound.mayRenewAt(lastMicros + 1));
@@ -32,8 +32,8 @@
 
     @Test
     void anOlderReadThatEndsLaterTakesNothingBack() {
-        bound.openJobsReadAsOf(9_000_000);
-        bound.openJobsReadAsOf(2_000_000);
+        bound.recordOpenJobsRead(9_000_000);
+        bound.recordOpenJobsRead(2_000_000);
         assertTrue(bound.mayRenewAt(9_000_000 + 21_999_999));
         assertFalse(bound.mayRenewAt(9_000_000 + 22_000_000));
     }
