--- a/src/main/java/org/weldcourse/quota/QuotaInvariant.java
+++ b/src/main/java/org/weldcourse/quota/QuotaInvariant.java
@@ -1,22 +1,22 @@
 package org.weldcourse.quota;
 
 /**
- * The invariant of quota: what a team has reserved or outstanding, and what controllers may still reserve for it,
- * never exceeds its limit in force by anything that is added. Controllers and tests use these same functions.
+ * The quota invariant: no addition may push the sum of a team's used quota, reservations and unspent budgets over the
+ * limit in force. Controllers and tests check it with the same functions.
  */
 public final class QuotaInvariant {
-    /** Half a millionth for each of two thousand tasks. */
-    private static final ResourceAmount ROUNDING = new ResourceAmount(1_000, 1_000);
+    /** A rounding error of half a millionth per task, for up to 2,000 tasks. */
+    private static final ResourceAmount ROUNDING_TOLERANCE = new ResourceAmount(1_000, 1_000);
 
     private QuotaInvariant() {}
 
-    /** Whether so much may be added to what counts against the limit already. */
+    /** Returns whether the limit allows adding an amount to what already counts against it. */
     public static boolean mayAdd(ResourceAmount limit, ResourceAmount counted, ResourceAmount added) {
         return counted.plus(added).fitsInto(limit);
     }
 
-    /** Whether what is in use exceeds a limit by more than the rounding of amounts can explain. */
+    /** Returns whether the used amount exceeds the limit by more than the rounding tolerance. */
     public static boolean isExceeded(ResourceAmount limit, ResourceAmount used) {
-        return !used.minus(ROUNDING).fitsInto(limit);
+        return !used.minus(ROUNDING_TOLERANCE).fitsInto(limit);
     }
 }
--- a/src/main/java/org/weldcourse/quota/ResourceAmount.java
+++ b/src/main/java/org/weldcourse/quota/ResourceAmount.java
@@ -2,62 +2,68 @@
 
 import java.util.Collection;
 
-/** CPUs and GPUs in whole millionths, since sums of decimals would drift. */
+/**
+ * An amount of CPUs and GPUs in whole millionths. Integers are used because sums of floating-point numbers accumulate
+ * rounding errors.
+ */
 public record ResourceAmount(long cpuMillionths, long gpuMillionths) {
     public static final ResourceAmount ZERO = new ResourceAmount(0, 0);
-    /** Far above any sum of real amounts, and far enough from the end of the range to be added to. */
+    /** Far above any real sum, and small enough that adding two such values does not overflow. */
     private static final long UNLIMITED = Long.MAX_VALUE / 4;
 
-    /** A limit that limits nothing. */
+    /** A limit that allows any amount. */
     public static final ResourceAmount NO_LIMIT = new ResourceAmount(UNLIMITED, UNLIMITED);
 
-    private static final double MILLION = 1e6;
+    private static final double MILLIONTHS_PER_UNIT = 1e6;
 
-    /** So many CPUs and GPUs. */
+    /** Returns an amount from CPUs and GPUs, rounded to millionths. */
     public static ResourceAmount of(double cpus, double gpus) {
-        return new ResourceAmount(bounded(Math.round(cpus * MILLION)), bounded(Math.round(gpus * MILLION)));
+        return new ResourceAmount(
+                capped(Math.round(cpus * MILLIONTHS_PER_UNIT)), capped(Math.round(gpus * MILLIONTHS_PER_UNIT)));
     }
 
-    /** A limit in the form of settings and records, where 0 means none. */
+    /** Returns a limit from the values in settings and stored records, where 0 means no limit. */
     public static ResourceAmount limit(double cpus, double gpus) {
         return new ResourceAmount(limit(cpus), limit(gpus));
     }
 
     private static long limit(double number) {
-        return number > 0 && number < UNLIMITED / MILLION ? Math.round(number * MILLION) : UNLIMITED;
+        return number > 0 && number < UNLIMITED / MILLIONTHS_PER_UNIT
+                ? Math.round(number * MILLIONTHS_PER_UNIT)
+                : UNLIMITED;
     }
 
-    /** The CPUs of a limit as settings and records state them: 0 for none. */
+    /** Returns the CPU limit as settings and stored records express it: 0 means no limit. */
     public double cpuLimit() {
         return cpuMillionths >= UNLIMITED ? 0 : cpus();
     }
 
-    /** The GPUs of a limit as settings and records state them: 0 for none. */
+    /** Returns the GPU limit as settings and stored records express it: 0 means no limit. */
     public double gpuLimit() {
         return gpuMillionths >= UNLIMITED ? 0 : gpus();
     }
 
-    /** The CPUs, as users and settings state them. */
+    /** Returns the number of CPUs. */
     public double cpus() {
-        return cpuMillionths / MILLION;
+        return cpuMillionths / MILLIONTHS_PER_UNIT;
     }
 
-    /** The GPUs, as users and settings state them. */
+    /** Returns the number of GPUs. */
     public double gpus() {
-        return gpuMillionths / MILLION;
+        return gpuMillionths / MILLIONTHS_PER_UNIT;
     }
 
-    private static long bounded(long millionths) {
+    private static long capped(long millionths) {
         return Math.min(millionths, UNLIMITED);
     }
 
-    /** The sum of both. */
+    /** Returns the sum of both amounts, capped at the unlimited value. */
     public ResourceAmount plus(ResourceAmount other) {
         return new ResourceAmount(
-                bounded(cpuMillionths + other.cpuMillionths), bounded(gpuMillionths + other.gpuMillionths));
+                capped(cpuMillionths + other.cpuMillionths), capped(gpuMillionths + other.gpuMillionths));
     }
 
-    /** The sum of several amounts. */
+    /** Returns the sum of all amounts. */
     public static ResourceAmount sum(Collection<ResourceAmount> amounts) {
         ResourceAmount sum = ZERO;
         for (ResourceAmount amount : amounts) {
@@ -66,13 +72,13 @@
         return sum;
     }
 
-    /** What is left after taking the other away; never below zero. */
+    /** Returns the difference, with negative results replaced by zero. */
     public ResourceAmount minus(ResourceAmount other) {
         return new ResourceAmount(
                 Math.max(0, cpuMillionths - other.cpuMillionths), Math.max(0, gpuMillionths - other.gpuMillionths));
     }
 
-    /** So many times this. */
+    /** Returns this amount multiplied by a count, capped at the unlimited value. */
     public ResourceAmount times(long count) {
         return new ResourceAmount(times(cpuMillionths, count), times(gpuMillionths, count));
     }
@@ -81,28 +87,28 @@
         return millionths > 0 && count > UNLIMITED / millionths ? UNLIMITED : millionths * count;
     }
 
-    /** A whole part of this, rounded down. */
+    /** Returns this amount divided by a count, rounded down. */
     public ResourceAmount dividedBy(long count) {
         return new ResourceAmount(cpuMillionths / count, gpuMillionths / count);
     }
 
-    /** The smaller of both, for each resource. */
-    public ResourceAmount least(ResourceAmount other) {
+    /** Returns the smaller value of each resource. */
+    public ResourceAmount min(ResourceAmount other) {
         return new ResourceAmount(
                 Math.min(cpuMillionths, other.cpuMillionths), Math.min(gpuMillionths, other.gpuMillionths));
     }
 
-    /** Whether this is a limit that limits nothing. */
+    /** Returns whether this limit allows any amount of both resources. */
     public boolean isUnlimited() {
         return cpuMillionths >= UNLIMITED && gpuMillionths >= UNLIMITED;
     }
 
-    /** Whether neither resource exceeds the other's. */
+    /** Returns whether this amount is at most the other for both resources. */
     public boolean fitsInto(ResourceAmount other) {
         return cpuMillionths <= other.cpuMillionths && gpuMillionths <= other.gpuMillionths;
     }
 
-    /** Whether it is nothing of either resource. */
+    /** Returns whether both resources are zero. */
     public boolean isZero() {
         return cpuMillionths == 0 && gpuMillionths == 0;
     }
@@ -110,7 +116,7 @@
     @Override
     public String toString() {
         String text = cpuMillionths >= UNLIMITED ? "any CPUs" : cpus() + " CPUs";
-        boolean saysGpus = gpuMillionths > 0 && gpuMillionths < UNLIMITED;
-        return saysGpus ? text + " and " + gpus() + " GPUs" : text;
+        boolean showGpus = gpuMillionths > 0 && gpuMillionths < UNLIMITED;
+        return showGpus ? text + " and " + gpus() + " GPUs" : text;
     }
 }
--- a/src/main/java/org/weldcourse/quota/enforcement/BudgetAllocator.java
+++ b/src/main/java/org/weldcourse/quota/enforcement/BudgetAllocator.java
@@ -15,48 +15,52 @@
 import org.weldcourse.runtime.Timers;
 import org.weldcourse.store.Store.Outcome;
 
-/** Grants and takes back controllers' budgets on record, as demand moves. */
+/** Grants controllers' budgets in the ledger and withdraws them as demand changes. */
 final class BudgetAllocator {
-    /** The least time between two changes of a team's budgets. */
-    private static final long DIVISION_PAUSE_MICROS = 1_000_000;
+    /** The minimum time between two budget changes of one team. */
+    private static final long DIVISION_INTERVAL_MICROS = 1_000_000;
 
-    private static final long READ_AGAIN_MICROS = 300_000;
+    private static final long RETRY_DELAY_MICROS = 300_000;
 
     private final QuotaLedger ledger;
     private final ReservationTracker reservations;
     private final BudgetPlanner planner;
     private final RecordWriter recorder;
     private final Timers timers;
-    private final Runnable changed;
-    /** Teams whose demand or quota changed since their budgets were last looked at. */
+    private final Runnable onBudgetsWritten;
+    /** Teams whose demand or quota changed since the last division of their budgets. */
     private final Set<String> teamsToDivide = new HashSet<>();
 
-    private final Set<String> writing = new HashSet<>();
-    private final Map<String, Long> dividedMicros = new HashMap<>();
+    private final Set<String> teamsBeingWritten = new HashSet<>();
+    private final Map<String, Long> lastDivisionMicros = new HashMap<>();
 
-    /** {@code changed} runs when a write of budgets has ended, however it did. */
+    /**
+     * Creates an allocator for one leader term.
+     *
+     * @param onBudgetsWritten runs when the result of a budget write is known, whether or not the write succeeded
+     */
     BudgetAllocator(
             QuotaLedger ledger,
             ReservationTracker reservations,
             BudgetPlanner planner,
             RecordWriter recorder,
             Timers timers,
-            Runnable changed) {
+            Runnable onBudgetsWritten) {
         this.timers = timers;
         this.ledger = ledger;
         this.reservations = reservations;
         this.planner = planner;
         this.recorder = recorder;
-        this.changed = changed;
+        this.onBudgetsWritten = onBudgetsWritten;
     }
 
-    /** The team's budgets have to be looked at when they are divided next. */
-    void reconsider(String team) {
+    /** Marks the team so that the next division recomputes its budgets. */
+    void markForDivision(String team) {
         teamsToDivide.add(team);
     }
 
     /**
-     * Changes budgets where demand has moved. A snapshot is taken only where there is something to look at.
+     * Updates the budgets of teams whose demand has changed. A snapshot is taken only if any team has to be considered.
      *
      * @param waitingTeams teams with jobs that wait for a limit
      */
@@ -67,20 +71,21 @@
         }
         QuotaSnapshot snapshot = snapshots.get();
         for (String team : List.copyOf(teamsToDivide)) {
-            boolean due = nowMicros - dividedMicros.getOrDefault(team, -DIVISION_PAUSE_MICROS) >= DIVISION_PAUSE_MICROS;
-            if (due && !writing.contains(team) && snapshot.isKnown(team)) {
+            boolean due = nowMicros - lastDivisionMicros.getOrDefault(team, -DIVISION_INTERVAL_MICROS)
+                    >= DIVISION_INTERVAL_MICROS;
+            if (due && !teamsBeingWritten.contains(team) && snapshot.isUsageKnown(team)) {
                 teamsToDivide.remove(team);
                 if (!ledger.quota(team).isUnlimited()) {
-                    boolean leaveNoRoom = waitingTeams.contains(team) || !snapshot.honoursAll(team);
-                    divide(team, leaveNoRoom, snapshot.freeBesideBudgets(team), nowMicros);
+                    boolean hasWaitingJobs = waitingTeams.contains(team) || !snapshot.allReservationsFit(team);
+                    divide(team, hasWaitingJobs, snapshot.freeExcludingBudgets(team), nowMicros);
                 }
             }
         }
     }
 
-    private void divide(String team, boolean leaveNoRoom, ResourceAmount free, long nowMicros) {
-        planner.plan(team, free, leaveNoRoom, reservations, nowMicros).ifPresent(budgets -> {
-            dividedMicros.put(team, nowMicros);
+    private void divide(String team, boolean hasWaitingJobs, ResourceAmount headroom, long nowMicros) {
+        planner.plan(team, headroom, hasWaitingJobs, reservations, nowMicros).ifPresent(budgets -> {
+            lastDivisionMicros.put(team, nowMicros);
             write(ledger.quota(team), budgets);
         });
     }
@@ -90,47 +95,48 @@
         String key = QuotaRecordCodec.teamKey(team);
         long cohortVersion = quota.cohort() == null ? 0 : quota.cohort().version();
         TeamQuota next = quota.team().withBudgets(budgets, cohortVersion);
-        reservations.budgetsPending(team, budgets);
-        writing.add(team);
+        reservations.setPendingBudgets(team, budgets);
+        teamsBeingWritten.add(team);
         boolean sent = recorder.writeInBackground(
                 txn -> {
                     quota.guards().forEach(txn::ifModRevision);
-                    txn.put(key, QuotaRecordCodec.value(next));
+                    txn.put(key, QuotaRecordCodec.encode(next));
                 },
-                (commit, unclear) -> written(next, commit.outcome(), commit.revision()));
+                (commit, unclear) -> onWriteResult(next, commit.outcome(), commit.revision()));
         if (!sent) {
-            settled(team);
+            finishWrite(team);
         }
     }
 
-    private void written(TeamQuota quota, Outcome outcome, long version) {
+    private void onWriteResult(TeamQuota quota, Outcome outcome, long version) {
         if (outcome == Outcome.OK) {
-            ledger.written(quota.withVersion(version));
-            settled(quota.name());
-            changed.run();
+            ledger.recordWritten(quota.withVersion(version));
+            finishWrite(quota.name());
+            onBudgetsWritten.run();
         } else {
-            settleByRecord(quota.name());
+            resolveFromLedger(quota.name());
         }
     }
 
     /**
-     * A write was refused, or carried out by an earlier try: what stands on record tells. Until it was read the budgets of
-     * the write count, since admissions of other teams of the cohort are not written on this team's record.
+     * Handles a write that was refused or whose earlier attempt may have succeeded: the stored record shows the
+     * outcome. Until the record has been read, the budgets of the write count as granted, because admissions of other
+     * teams in the cohort are not conditional on this team's record.
      */
-    private void settleByRecord(String team) {
+    private void resolveFromLedger(String team) {
         ledger.refresh(team, isRead -> {
             if (isRead) {
-                settled(team);
-                changed.run();
+                finishWrite(team);
+                onBudgetsWritten.run();
             } else {
-                timers.after(READ_AGAIN_MICROS, () -> settleByRecord(team));
+                timers.after(RETRY_DELAY_MICROS, () -> resolveFromLedger(team));
             }
         });
     }
 
-    private void settled(String team) {
-        writing.remove(team);
-        reservations.budgetsPending(team, Map.of());
+    private void finishWrite(String team) {
+        teamsBeingWritten.remove(team);
+        reservations.setPendingBudgets(team, Map.of());
         teamsToDivide.add(team);
     }
 }
--- a/src/main/java/org/weldcourse/quota/enforcement/BudgetDivision.java
+++ b/src/main/java/org/weldcourse/quota/enforcement/BudgetDivision.java
@@ -6,26 +6,26 @@
 import org.weldcourse.quota.QuotaInvariant;
 import org.weldcourse.quota.ResourceAmount;
 
-/** Divides the room that a team has to spare among the controllers that accept its jobs. A pure function. */
+/** Divides a team's available quota among the controllers that accept its jobs. Implementations are pure functions. */
 public interface BudgetDivision {
-    /** A controller process that would make so many reservations of this size. */
-    record Request(String owner, ResourceAmount each, int wanted) {}
+    /** A request by a controller process for a number of reservations of the same size. */
+    record Request(String owner, ResourceAmount amount, int maxReservations) {}
 
-    /** How many reservations each request is granted; together they fit into the room. */
-    Map<String, Integer> divide(ResourceAmount room, List<Request> requests);
+    /** Returns the number of reservations granted to each owner. Together they fit into the available amount. */
+    Map<String, Integer> divide(ResourceAmount available, List<Request> requests);
 
-    /** Grants one reservation to each in turn, as long as the room lasts. */
-    static Map<String, Integer> roundRobin(ResourceAmount room, List<Request> requests) {
+    /** Grants one reservation to each request in turn, while the available amount lasts. */
+    static Map<String, Integer> roundRobin(ResourceAmount available, List<Request> requests) {
         Map<String, Integer> granted = new TreeMap<>();
         ResourceAmount taken = ResourceAmount.ZERO;
         boolean progress = true;
         while (progress) {
             progress = false;
             for (Request request : requests) {
-                int already = granted.getOrDefault(request.owner(), 0);
-                if (already < request.wanted() && QuotaInvariant.mayAdd(room, taken, request.each())) {
-                    taken = taken.plus(request.each());
-                    granted.put(request.owner(), already + 1);
+                int current = granted.getOrDefault(request.owner(), 0);
+                if (current < request.maxReservations() && QuotaInvariant.mayAdd(available, taken, request.amount())) {
+                    taken = taken.plus(request.amount());
+                    granted.put(request.owner(), current + 1);
                     progress = true;
                 }
             }
--- a/src/main/java/org/weldcourse/quota/enforcement/BudgetPlanner.java
+++ b/src/main/java/org/weldcourse/quota/enforcement/BudgetPlanner.java
@@ -7,76 +7,87 @@
 import java.util.TreeMap;
 import org.weldcourse.quota.ResourceAmount;
 
-/** Decides when a team's budgets change, and to what. A pure function of what the leader knows. */
+/** Decides when the budgets of a team change, and to what. A pure function of the leader's state. */
 public final class BudgetPlanner {
-    /** The part of a team's free room that budgets may hold; the rest is the leader's to admit from. */
-    private static final int ROOM_DIVISOR = 2;
-    /** A budget is for a quarter of the jobs that came in the demand's two windows: some five seconds. */
+    /** Budgets may use at most half of a team's quota headroom; the leader admits from the rest. */
+    private static final int HEADROOM_DIVISOR = 2;
+    /** A budget covers a quarter of the jobs in the two demand windows, which is about five seconds of demand. */
     private static final int DEMAND_DIVISOR = 4;
 
-    private static final int MAX_WANTED = 64;
+    private static final int MAX_RESERVATIONS = 64;
 
     private final BudgetDivision division;
 
-    /** A planner that divides room in this way. */
+    /** Creates a planner that divides the available quota with this strategy. */
     public BudgetPlanner(BudgetDivision division) {
         this.division = division;
     }
 
     /**
-     * What the leader knows of one team. {@code free}: what limits leave besides the team's own budgets; {@code waits}: a
-     * job waits for the limit; {@code unspent} and {@code demand}: by controller process.
+     * What the leader knows about one team.
+     *
+     * @param headroom the quota that the limits leave, counting the team's own budgets as free
+     * @param hasWaitingJobs whether a job waits for the limit
+     * @param unspent the unspent budgets by controller process
+     * @param demand the recent demand by controller process
      */
-    record Situation(
-            ResourceAmount free,
-            boolean waits,
+    record TeamState(
+            ResourceAmount headroom,
+            boolean hasWaitingJobs,
             Map<String, ResourceAmount> unspent,
             Map<String, RecentDemand.Count> demand) {
-        boolean lacks(BudgetDivision.Request request) {
-            return !request.each().fitsInto(unspent.getOrDefault(request.owner(), ResourceAmount.ZERO));
+        boolean lacksBudget(BudgetDivision.Request request) {
+            return !request.amount().fitsInto(unspent.getOrDefault(request.owner(), ResourceAmount.ZERO));
         }
     }
 
-    /** The team's new budgets by owner, or nothing when they stay. */
+    /** Returns the team's new budgets by owner, or empty if they stay unchanged. */
     Optional<Map<String, ResourceAmount>> plan(
-            String team, ResourceAmount free, boolean waits, ReservationTracker reservations, long nowMicros) {
-        return plan(new Situation(free, waits, reservations.unspent(team), reservations.demand(team, nowMicros)));
+            String team,
+            ResourceAmount headroom,
+            boolean hasWaitingJobs,
+            ReservationTracker reservations,
+            long nowMicros) {
+        return plan(new TeamState(
+                headroom, hasWaitingJobs, reservations.unspentBudgets(team), reservations.demand(team, nowMicros)));
     }
 
     /**
-     * The team's new budgets, or nothing when they stay. Room that one controller holds unused is given to another in two
-     * steps, since the first may still reserve it until the write that takes it back is carried out.
+     * Returns the team's new budgets, or empty if they stay unchanged. Unused budget moves from one controller to
+     * another in two steps, because the first controller may still reserve from it until the write that withdraws it
+     * succeeds.
      */
-    Optional<Map<String, ResourceAmount>> plan(Situation now) {
-        ResourceAmount held = ResourceAmount.sum(now.unspent.values());
-        if (now.waits) {
-            // Who came first must not wait for room that is kept for who may come.
+    Optional<Map<String, ResourceAmount>> plan(TeamState state) {
+        ResourceAmount held = ResourceAmount.sum(state.unspent.values());
+        if (state.hasWaitingJobs) {
+            // A waiting job has precedence over quota that is held for jobs still to come.
             return held.isZero() ? Optional.empty() : Optional.of(Map.of());
         }
-        List<BudgetDivision.Request> requests = requests(now.demand);
-        List<BudgetDivision.Request> lacking =
-                requests.stream().filter(now::lacks).toList();
-        if (lacking.isEmpty()) {
+        List<BudgetDivision.Request> requests = requests(state.demand);
+        List<BudgetDivision.Request> unserved =
+                requests.stream().filter(state::lacksBudget).toList();
+        if (unserved.isEmpty()) {
             return Optional.empty();
         }
-        ResourceAmount most = now.free().dividedBy(ROOM_DIVISOR);
-        Map<String, Integer> granted = division.divide(most.least(now.free().minus(held)), requests);
-        if (servesOne(lacking, granted)) {
+        ResourceAmount maxBudget = state.headroom().dividedBy(HEADROOM_DIVISOR);
+        Map<String, Integer> granted =
+                division.divide(maxBudget.min(state.headroom().minus(held)), requests);
+        if (servesAny(unserved, granted)) {
             return Optional.of(amounts(requests, granted));
         }
-        boolean takingBackHelps = !held.isZero() && servesOne(lacking, division.divide(most, requests));
-        return takingBackHelps ? Optional.of(Map.of()) : Optional.empty();
+        boolean withdrawalHelps = !held.isZero() && servesAny(unserved, division.divide(maxBudget, requests));
+        return withdrawalHelps ? Optional.of(Map.of()) : Optional.empty();
     }
 
-    private static boolean servesOne(List<BudgetDivision.Request> lacking, Map<String, Integer> granted) {
-        return lacking.stream().anyMatch(request -> granted.getOrDefault(request.owner(), 0) > 0);
+    private static boolean servesAny(List<BudgetDivision.Request> unserved, Map<String, Integer> granted) {
+        return unserved.stream().anyMatch(request -> granted.getOrDefault(request.owner(), 0) > 0);
     }
 
     private static List<BudgetDivision.Request> requests(Map<String, RecentDemand.Count> demand) {
         List<BudgetDivision.Request> requests = new ArrayList<>();
         demand.forEach((owner, count) -> {
-            int wanted = Math.min(MAX_WANTED, Math.max(1, count.jobs() / DEMAND_DIVISOR));
-            requests.add(new BudgetDivision.Request(owner, count.largest(), wanted));
+            int maxReservations = Math.min(MAX_RESERVATIONS, Math.max(1, count.jobs() / DEMAND_DIVISOR));
+            requests.add(new BudgetDivision.Request(owner, count.largest(), maxReservations));
         });
         return requests;
     }
@@ -87,7 +98,7 @@
         for (BudgetDivision.Request request : requests) {
             int count = granted.getOrDefault(request.owner(), 0);
             if (count > 0) {
-                budgets.put(request.owner(), request.each().times(count));
+                budgets.put(request.owner(), request.amount().times(count));
             }
         }
         return budgets;
--- a/src/main/java/org/weldcourse/quota/enforcement/IntegerProgramDivision.java
+++ b/src/main/java/org/weldcourse/quota/enforcement/IntegerProgramDivision.java
@@ -11,72 +11,77 @@
 import org.weldcourse.quota.ResourceAmount;
 
 /**
- * The division as a whole-number program: serve as many controllers as possible at all, then as many reservations as
- * possible. Taking turns can spend the room on a large reservation where several smaller ones would have fit. When the
- * solver finds no optimum in its time, turns are taken.
+ * Solves the division as an integer program: it serves as many controllers as possible, then grants as many
+ * reservations as possible. Round robin may instead spend the available amount on one large reservation where several
+ * smaller ones would have fit.
+ *
+ * <p>Falls back to round robin if the solver finds no optimum within its time limit.
  */
 public final class IntegerProgramDivision implements BudgetDivision {
     private static final long SOLVER_TIMEOUT_MILLIS = 50;
-    /** The first reservation of a controller outweighs any number of further ones of others. */
-    private static final double WEIGHT_OF_FIRST = 1_000;
+    /** The first reservation of a controller outweighs any number of additional reservations of other controllers. */
+    private static final double FIRST_RESERVATION_WEIGHT = 1_000;
 
     @Override
-    public Map<String, Integer> divide(ResourceAmount room, List<Request> requests) {
+    public Map<String, Integer> divide(ResourceAmount available, List<Request> requests) {
         if (requests.isEmpty()) {
             return Map.of();
         }
         ExpressionsBasedModel model = new ExpressionsBasedModel();
         model.options.time_abort = SOLVER_TIMEOUT_MILLIS;
         model.options.time_suffice = SOLVER_TIMEOUT_MILLIS;
-        ResourceAmount bound = atMostWanted(room, requests);
+        ResourceAmount bound = capAtDemand(available, requests);
         Expression cpus = model.newExpression("cpus").upper(bound.cpus());
         Expression gpus = model.newExpression("gpus").upper(bound.gpus());
-        List<Variable> first = new ArrayList<>();
-        List<Variable> further = new ArrayList<>();
+        List<Variable> firstReservations = new ArrayList<>();
+        List<Variable> additionalReservations = new ArrayList<>();
         for (Request request : requests) {
-            first.add(count(model, "first " + request.owner(), 1, WEIGHT_OF_FIRST));
-            further.add(count(model, "further " + request.owner(), Math.max(0, request.wanted() - 1), 1));
-            int last = first.size() - 1;
-            for (Variable variable : List.of(first.get(last), further.get(last))) {
-                cpus.set(variable, request.each().cpus());
-                gpus.set(variable, request.each().gpus());
+            firstReservations.add(integerVariable(model, "first " + request.owner(), 1, FIRST_RESERVATION_WEIGHT));
+            additionalReservations.add(integerVariable(
+                    model, "further " + request.owner(), Math.max(0, request.maxReservations() - 1), 1));
+            int last = firstReservations.size() - 1;
+            for (Variable variable : List.of(firstReservations.get(last), additionalReservations.get(last))) {
+                cpus.set(variable, request.amount().cpus());
+                gpus.set(variable, request.amount().gpus());
             }
         }
         Optimisation.Result result = model.maximise();
         Map<String, Integer> granted = new TreeMap<>();
         if (result.getState().isOptimal()) {
             for (int i = 0; i < requests.size(); i++) {
-                long count = Math.round(result.doubleValue(model.indexOf(first.get(i))))
-                        + Math.round(result.doubleValue(model.indexOf(further.get(i))));
+                long count = Math.round(result.doubleValue(model.indexOf(firstReservations.get(i))))
+                        + Math.round(result.doubleValue(model.indexOf(additionalReservations.get(i))));
                 granted.put(requests.get(i).owner(), (int) count);
             }
         }
-        return fits(room, requests, granted) ? granted : BudgetDivision.roundRobin(room, requests);
+        return isFeasible(available, requests, granted) ? granted : BudgetDivision.roundRobin(available, requests);
     }
 
-    /** Bounds far above all that is asked for would only cost the solver precision. */
-    private static ResourceAmount atMostWanted(ResourceAmount room, List<Request> requests) {
+    /**
+     * Caps the available amount at the total demand. Bounds far above it would only reduce the precision of the solver.
+     */
+    private static ResourceAmount capAtDemand(ResourceAmount available, List<Request> requests) {
         ResourceAmount wanted = ResourceAmount.ZERO;
         for (Request request : requests) {
-            wanted = wanted.plus(request.each().times(request.wanted()));
+            wanted = wanted.plus(request.amount().times(request.maxReservations()));
         }
-        return room.least(wanted);
+        return available.min(wanted);
     }
 
-    private static Variable count(ExpressionsBasedModel model, String name, int most, double weight) {
-        return model.newVariable(name).lower(0).upper(most).weight(weight).integer();
+    private static Variable integerVariable(ExpressionsBasedModel model, String name, int upperBound, double weight) {
+        return model.newVariable(name).lower(0).upper(upperBound).weight(weight).integer();
     }
 
-    /** The solver works with floating point: its answer is checked in whole numbers before it is used. */
-    private static boolean fits(ResourceAmount room, List<Request> requests, Map<String, Integer> granted) {
+    /** Checks the solution in integers, because the solver uses floating point. */
+    private static boolean isFeasible(ResourceAmount available, List<Request> requests, Map<String, Integer> granted) {
         ResourceAmount taken = ResourceAmount.ZERO;
         for (Request request : requests) {
             int count = granted.getOrDefault(request.owner(), 0);
-            if (count < 0 || count > request.wanted()) {
+            if (count < 0 || count > request.maxReservations()) {
                 return false;
             }
-            taken = taken.plus(request.each().times(count));
+            taken = taken.plus(request.amount().times(count));
         }
-        return !granted.isEmpty() && taken.fitsInto(room);
+        return !granted.isEmpty() && taken.fitsInto(available);
     }
 }
--- a/src/main/java/org/weldcourse/quota/enforcement/LedgerQuotaEnforcement.java
+++ b/src/main/java/org/weldcourse/quota/enforcement/LedgerQuotaEnforcement.java
@@ -20,11 +20,12 @@
 import org.weldcourse.store.Transaction;
 
 /**
- * The quota of the ledger, as the leader enforces it. Each admission is written on the versions of the records that it
- * was decided on. What other controllers reserved, or may still reserve out of their budgets, counts as taken.
+ * Enforces the quota of the ledger during one leader term. The write of each admission is conditional on the versions
+ * of the quota records on which it was decided. Reservations of other controllers and their unspent budgets count as
+ * used.
  */
 public final class LedgerQuotaEnforcement implements QuotaEnforcement {
-    private static final long READ_AGAIN_MICROS = 300_000;
+    private static final long RETRY_DELAY_MICROS = 300_000;
 
     private final ClusterState cluster;
     private final Settings settings;
@@ -40,23 +41,23 @@
     private QuotaSnapshot snapshot;
     private boolean ended;
 
-    /** What the leader term does for the enforcement of quota. */
+    /** Operations of the leader term that quota enforcement uses. */
     public interface TermCallbacks {
-        /** Reads the changes of open jobs at once, rather than with the next watch. */
+        /** Reads the changes of open jobs immediately, without waiting for the next watch event. */
         void readOpenJobs();
 
-        /** Something changed that the next cycle may act on. */
+        /** Reports a quota change on which the next admission cycle may act. */
         void quotaChanged();
 
-        /** A steady reading of the clock. */
+        /** Returns the time of a monotonic clock. */
         long nowMicros();
     }
 
     /**
-     * The quota of one leader term.
+     * Creates the quota enforcement of one leader term.
      *
-     * @param fencingTokenVersion the store's version of the key that holds the fencing token, which guards every grant of a
-     *     budget
+     * @param fencingTokenVersion the mod revision of the key that holds the fencing token, on which every budget grant
+     *     is conditional
      */
     public LedgerQuotaEnforcement(
             ClusterState cluster,
@@ -82,18 +83,18 @@
     @Override
     public void begin() {
         ledger.onChange(onLedgerChange);
-        takeOverLedger();
+        syncWithLedger();
         readLedger();
     }
 
     /**
-     * The leader before this one may have granted budgets shortly before its end. Until the ledger was read up to the
-     * election, nothing counts as known: after it only this leader grants any.
+     * Reads the ledger up to the leader's election. The previous leader may have granted budgets shortly before its
+     * term ended, so the quota of every team counts as unknown until then. Afterwards only this leader grants budgets.
      */
     private void readLedger() {
-        ledger.readAgain(isRead -> {
+        ledger.reload(isRead -> {
             if (!isRead && !ended && !ledger.isReadUpTo(fencingTokenVersion)) {
-                timers.after(READ_AGAIN_MICROS, this::readLedger);
+                timers.after(RETRY_DELAY_MICROS, this::readLedger);
             }
         });
     }
@@ -103,19 +104,19 @@
     }
 
     private void ledgerChanged() {
-        takeOverLedger();
+        syncWithLedger();
         callbacks.quotaChanged();
     }
 
-    private void takeOverLedger() {
-        boolean behind = false;
+    private void syncWithLedger() {
+        boolean needsOpenJobs = false;
         for (EffectiveQuota quota : monitor.quotas()) {
             String team = quota.team().name();
-            reservations.quotaSeen(quota);
-            behind |= !reservations.isUpToDate(team);
-            budgets.reconsider(team);
+            reservations.updateQuota(quota);
+            needsOpenJobs |= !reservations.isUpToDate(team);
+            budgets.markForDivision(team);
         }
-        if (behind) {
+        if (needsOpenJobs) {
             callbacks.readOpenJobs();
         }
     }
@@ -123,7 +124,7 @@
     @Override
     public List<TeamView> teamViews(long nowMicros) {
         snapshot = takeSnapshot();
-        return snapshot.views();
+        return snapshot.teamViews();
     }
 
     @Override
@@ -144,8 +145,9 @@
 
     @Override
     public void preconditionFailed(Job job, List<Object> keys) {
-        boolean ofLedger = keys.stream().anyMatch(key -> String.valueOf(key).startsWith(QuotaRecordCodec.PREFIX));
-        if (ofLedger) {
+        boolean isQuotaPrecondition =
+                keys.stream().anyMatch(key -> String.valueOf(key).startsWith(QuotaRecordCodec.PREFIX));
+        if (isQuotaPrecondition) {
             ledger.refresh(job.spec().team(), isRead -> {});
         }
     }
@@ -157,48 +159,51 @@
             return;
         }
         ResourceAmount perTask = job.spec().quotaPerTask();
-        reservations.jobSeen(job.spec().id(), job.spec().team(), perTask, reservation);
-        ResourceAmount atOnce = perTask.times(job.spec().concurrentTasks());
-        reservations.demanded(job.spec().team(), reservation.owner(), atOnce, callbacks.nowMicros());
-        budgets.reconsider(job.spec().team());
+        reservations.addJob(job.spec().id(), job.spec().team(), perTask, reservation);
+        ResourceAmount concurrentAmount = perTask.times(job.spec().concurrentTasks());
+        reservations.recordDemand(job.spec().team(), reservation.owner(), concurrentAmount, callbacks.nowMicros());
+        budgets.markForDivision(job.spec().team());
     }
 
     @Override
     public void jobEnded(Job job) {
-        reservations.jobEnded(job.spec().id());
+        reservations.removeJob(job.spec().id());
     }
 
     @Override
     public void openJobsReadUpTo(long revision) {
-        reservations.readUpTo(revision);
+        reservations.openJobsReadUpTo(revision);
     }
 
     @Override
     public void cycleEnded(List<CycleDecisions.PendingTasks> waiting, long nowMicros) {
         Set<String> waitingTeams = new HashSet<>();
-        for (CycleDecisions.PendingTasks item : waiting) {
-            if (item.blockedByQuota()) {
-                waitingTeams.add(item.spec().team());
+        for (CycleDecisions.PendingTasks pending : waiting) {
+            if (pending.blockedByQuota()) {
+                waitingTeams.add(pending.spec().team());
             }
         }
-        waitingTeams.addAll(othersOfTheirCohorts(waitingTeams));
-        // The cycle has booked since its snapshot was taken, so that a new one is needed, where there is anything to
-        // divide.
+        waitingTeams.addAll(cohortMembers(waitingTeams));
+        // The cycle has added bookings since its snapshot was taken, so the division takes a new snapshot if it has any
+        // team to consider.
         budgets.divide(waitingTeams, this::takeSnapshot, nowMicros);
         seeder.seedMissing(nowMicros);
     }
 
-    /** A job that waits for a cohort's limit may wait for room that another team's budgets hold. */
-    private Set<String> othersOfTheirCohorts(Set<String> waitingTeams) {
-        Set<String> others = new HashSet<>();
+    /**
+     * Returns the members of the waiting teams' cohorts: a job that waits for a cohort's limit may be blocked by the
+     * budgets of another team in the cohort.
+     */
+    private Set<String> cohortMembers(Set<String> waitingTeams) {
+        Set<String> members = new HashSet<>();
         for (String team : waitingTeams) {
             EffectiveQuota quota = ledger.quota(team);
             if (quota != null && quota.cohort() != null) {
                 monitor.members(quota.cohort())
-                        .forEach(member -> others.add(member.team().name()));
+                        .forEach(member -> members.add(member.team().name()));
             }
         }
-        return others;
+        return members;
     }
 
     @Override
--- a/src/main/java/org/weldcourse/quota/enforcement/OverQuotaMonitor.java
+++ b/src/main/java/org/weldcourse/quota/enforcement/OverQuotaMonitor.java
@@ -18,13 +18,13 @@
 import org.weldcourse.quota.ledger.TeamQuota;
 import org.weldcourse.settings.Settings;
 
-/** Which teams and cohorts use more than their limits on record, and what has to stop for it. */
+/** Detects teams and cohorts that use more than their limits in the ledger, and selects the bookings to stop. */
 final class OverQuotaMonitor {
     private final ClusterState cluster;
     private final Settings settings;
     private final QuotaLedger ledger;
 
-    /** What a team uses, in one of the two senses of {@link QuotaUsage}. */
+    /** The usage of each team, by one of the two measures of {@link QuotaUsage}. */
     interface UsageByTeam {
         ResourceAmount of(String team);
     }
@@ -35,7 +35,7 @@
         this.ledger = ledger;
     }
 
-    /** The quotas of all teams whose records can be used. */
+    /** Returns the quotas of all teams whose records are usable. */
     List<EffectiveQuota> quotas() {
         List<EffectiveQuota> quotas = new ArrayList<>();
         for (Settings.Team team : settings.teams()) {
@@ -47,12 +47,12 @@
         return quotas;
     }
 
-    /** The quotas of the cohort's teams. */
+    /** Returns the quotas of the teams in the cohort. */
     List<EffectiveQuota> members(CohortQuota cohort) {
         return quotas().stream().filter(quota -> quota.isIn(cohort.name())).toList();
     }
 
-    /** Whether the team is above its own limit or its cohort is above that of all its teams. */
+    /** Returns whether the team exceeds its own limit or its cohort exceeds the cohort limit. */
     boolean isOver(String team, UsageByTeam usage) {
         EffectiveQuota quota = ledger.quota(team);
         return quota != null
@@ -75,11 +75,11 @@
         return sum;
     }
 
-    /** Visits each team and each cohort with one of these policies that is above its limit by all that counts against it. */
-    private void visitOver(
+    /** Visits each team and cohort whose policy matches and whose counted usage exceeds its limit. */
+    private void visitExceeded(
             Predicate<OverQuotaPolicy> policies, Consumer<TeamQuota> onTeam, Consumer<CohortQuota> onCohort) {
         UsageByTeam usage = cluster.quotaUsage::usedBy;
-        Set<String> cohortsSeen = new HashSet<>();
+        Set<String> visitedCohorts = new HashSet<>();
         for (EffectiveQuota quota : quotas()) {
             TeamQuota team = quota.team();
             if (policies.test(team.overQuotaPolicy()) && isOver(team, usage)) {
@@ -87,7 +87,7 @@
             }
             CohortQuota cohort = quota.cohort();
             if (cohort != null
-                    && cohortsSeen.add(cohort.name())
+                    && visitedCohorts.add(cohort.name())
                     && policies.test(cohort.overQuotaPolicy())
                     && isOver(cohort, usage)) {
                 onCohort.accept(cohort);
@@ -95,31 +95,33 @@
         }
     }
 
-    /** Bookings to stop of teams and cohorts whose policy is to preempt what is above their limits. */
+    /** Returns the bookings to stop for teams and cohorts over their limits whose policy is preemption. */
     List<Booking> bookingsToPreempt() {
         List<Booking> bookings = new ArrayList<>();
-        visitOver(
+        visitExceeded(
                 OverQuotaPolicy.PREEMPT::equals,
                 team -> bookings.addAll(OverQuotaPreemption.ofTeam(cluster, team)),
                 cohort -> bookings.addAll(OverQuotaPreemption.ofCohort(cluster, cohort, members(cohort))));
         return bookings;
     }
 
-    /** Who is above its limit and by how much, for the status line; empty when nobody is. */
+    /**
+     * Returns the teams and cohorts over their limits and by how much, for the status line. Empty if there are none.
+     */
     String status() {
         StringBuilder text = new StringBuilder();
-        visitOver(
+        visitExceeded(
                 policy -> true,
                 team -> text.append(
                                 OverQuotaText.ofTeam(team.name(), cluster.quotaUsage.usedBy(team.name()), team.limit()))
-                        .append(leftTo(team.overQuotaPolicy())),
+                        .append(policyText(team.overQuotaPolicy())),
                 cohort -> text.append(OverQuotaText.ofCohort(
                                 cohort.name(), usedBy(cohort, cluster.quotaUsage::usedBy), cohort.limit()))
-                        .append(leftTo(cohort.overQuotaPolicy())));
+                        .append(policyText(cohort.overQuotaPolicy())));
         return text.toString();
     }
 
-    private static String leftTo(OverQuotaPolicy policy) {
-        return " left to " + policy.externalName() + "; ";
+    private static String policyText(OverQuotaPolicy policy) {
+        return ", policy " + policy.externalName() + "; ";
     }
 }
--- a/src/main/java/org/weldcourse/quota/enforcement/OverQuotaPreemption.java
+++ b/src/main/java/org/weldcourse/quota/enforcement/OverQuotaPreemption.java
@@ -16,15 +16,18 @@
 import org.weldcourse.quota.ledger.TeamQuota;
 
 /**
- * Which tasks are preempted when a team or a cohort runs more than its limit: low priority first, then the latest. A gang
- * is stopped whole, and named by one of its tasks.
+ * Selects the tasks to preempt when a team or cohort uses more than its limit: lowest priority first, then the most
+ * recently booked. A gang is stopped as a whole and represented by one of its bookings.
  */
 final class OverQuotaPreemption {
     private final ResourceAmount limit;
-    /** What each team keeps whatever happens: nothing under its own limit, its guarantee under its cohort's. */
+    /**
+     * The amount that each team keeps: zero when its own limit is enforced, its guarantee when the cohort's limit is
+     * enforced.
+     */
     private final Map<String, ResourceAmount> guaranteedByTeam;
 
-    private final Map<String, ResourceAmount> stayingByTeam = new HashMap<>();
+    private final Map<String, ResourceAmount> remainingByTeam = new HashMap<>();
     private final List<Booking> candidates = new ArrayList<>();
 
     private OverQuotaPreemption(
@@ -33,58 +36,58 @@
         this.guaranteedByTeam = guaranteedByTeam;
         for (Job job : cluster.jobs.values()) {
             if (guaranteedByTeam.containsKey(job.spec().team())) {
-                job.bookings().forEach(this::consider);
+                job.bookings().forEach(this::addCandidate);
             }
         }
     }
 
-    /** Bookings to stop so that what stays fits the team's limit. */
+    /** Returns the bookings to stop so that the rest of the team's bookings fit its limit. */
     static List<Booking> ofTeam(ClusterState cluster, TeamQuota team) {
-        return new OverQuotaPreemption(team.limit(), Map.of(team.name(), ResourceAmount.ZERO), cluster).choose();
+        return new OverQuotaPreemption(team.limit(), Map.of(team.name(), ResourceAmount.ZERO), cluster).selectVictims();
     }
 
-    /** Bookings to stop so that what stays of all members fits the cohort's limit. */
+    /** Returns the bookings to stop so that the rest of the members' bookings fit the cohort's limit. */
     static List<Booking> ofCohort(ClusterState cluster, CohortQuota cohort, List<EffectiveQuota> members) {
         Map<String, ResourceAmount> guarantees = new HashMap<>();
         members.forEach(
                 member -> guarantees.put(member.team().name(), member.team().guarantee()));
-        return new OverQuotaPreemption(cohort.limit(), guarantees, cluster).choose();
+        return new OverQuotaPreemption(cohort.limit(), guarantees, cluster).selectVictims();
     }
 
-    private void consider(Booking booking) {
+    private void addCandidate(Booking booking) {
         if (!booking.isStopRequested()) {
             candidates.add(booking);
-            stayingByTeam.merge(
+            remainingByTeam.merge(
                     booking.job().spec().team(), booking.job().spec().quotaPerTask(), ResourceAmount::plus);
         }
     }
 
-    private List<Booking> choose() {
+    private List<Booking> selectVictims() {
         candidates.sort(
                 Comparator.comparing((Booking booking) -> booking.job().spec().priority())
                         .thenComparingLong(booking -> booking.bookedMicros())
                         .thenComparing(booking -> booking.job().spec().id())
                         .thenComparingInt(booking -> booking.task())
                         .reversed());
-        List<Booking> stops = new ArrayList<>();
+        List<Booking> victims = new ArrayList<>();
         Set<Job> stoppedGangs = new HashSet<>();
         for (Booking booking : candidates) {
-            if (ResourceAmount.sum(stayingByTeam.values()).fitsInto(limit)) {
+            if (ResourceAmount.sum(remainingByTeam.values()).fitsInto(limit)) {
                 break;
             }
             Job job = booking.job();
             boolean gang = job.spec().isGang();
             ResourceAmount perTask = job.spec().quotaPerTask();
-            ResourceAmount leaving = gang ? perTask.times(job.bookings().size()) : perTask;
-            if (mayGoWithout(job.spec().team(), leaving) && (!gang || stoppedGangs.add(job))) {
-                stops.add(booking);
-                stayingByTeam.computeIfPresent(job.spec().team(), (team, staying) -> staying.minus(leaving));
+            ResourceAmount freed = gang ? perTask.times(job.bookings().size()) : perTask;
+            if (keepsGuarantee(job.spec().team(), freed) && (!gang || stoppedGangs.add(job))) {
+                victims.add(booking);
+                remainingByTeam.computeIfPresent(job.spec().team(), (team, remaining) -> remaining.minus(freed));
             }
         }
-        return stops;
+        return victims;
     }
 
-    private boolean mayGoWithout(String team, ResourceAmount leaving) {
-        return guaranteedByTeam.get(team).fitsInto(stayingByTeam.get(team).minus(leaving));
+    private boolean keepsGuarantee(String team, ResourceAmount freed) {
+        return guaranteedByTeam.get(team).fitsInto(remainingByTeam.get(team).minus(freed));
     }
 }
--- a/src/main/java/org/weldcourse/quota/enforcement/OverQuotaText.java
+++ b/src/main/java/org/weldcourse/quota/enforcement/OverQuotaText.java
@@ -2,7 +2,7 @@
 
 import org.weldcourse.quota.ResourceAmount;
 
-/** How the leader's status line says that a limit is exceeded, wherever the limit comes from. */
+/** Formats the part of the leader's status line that reports an exceeded limit. */
 final class OverQuotaText {
     private OverQuotaText() {}
 
@@ -14,7 +14,7 @@
         return of("cohort " + cohort, used, limit);
     }
 
-    private static String of(String who, ResourceAmount used, ResourceAmount limit) {
-        return who + " has " + used.minus(limit) + " over its limit";
+    private static String of(String subject, ResourceAmount used, ResourceAmount limit) {
+        return subject + " is " + used.minus(limit) + " over its limit";
     }
 }
--- a/src/main/java/org/weldcourse/quota/enforcement/QuotaEnforcement.java
+++ b/src/main/java/org/weldcourse/quota/enforcement/QuotaEnforcement.java
@@ -11,42 +11,44 @@
 import org.weldcourse.workers.StartAuthorization;
 
 /**
- * The teams' quota during one leader term: what of it is used, what may be admitted and on which conditions, and what has to
- * stop. The quota comes from the ledger ({@link LedgerQuotaEnforcement}) or from this node's settings
- * ({@link SettingsQuotaEnforcement}). All methods are called on the leader's event loop; times are microseconds.
+ * Enforces the teams' quota during one leader term: tracks usage, provides the preconditions of admissions, and selects
+ * the bookings to stop. The quota comes from the ledger ({@link LedgerQuotaEnforcement}) or from this node's settings
+ * ({@link SettingsQuotaEnforcement}).
+ *
+ * <p>All methods are called on the leader's event loop. Times are in microseconds.
  */
 public interface QuotaEnforcement extends StartAuthorization.TeamQuotas {
-    /** The term begins. */
+    /** Starts enforcement at the beginning of the leader term. */
     void begin();
 
-    /** Each team's quota and what counts against it, for the admission cycle that begins. */
+    /** Returns each team's quota and the usage that counts against it, for the admission cycle that begins. */
     List<TeamView> teamViews(long nowMicros);
 
-    /** How many of the job's waiting tasks are counted already in the views, as reserved. */
+    /** Returns how many of the job's waiting tasks the team views already count as reserved. */
     int reservedTasks(Job job);
 
-    /** Adds to the write of an admission the conditions under which the team's quota allows it. */
+    /** Adds to an admission's transaction the conditions under which the team's quota allows it. */
     void addPreconditions(Transaction admission, Job job);
 
-    /** An admission of the job was refused, since the condition on each of these keys did not hold. */
+    /** Handles an admission of the job that was refused because the conditions on these keys failed. */
     void preconditionFailed(Job job, List<Object> keys);
 
-    /** The job's record was read for the first time. */
+    /** Handles a job record that was read for the first time. */
     void jobLoaded(Job job, Map<String, Object> jobRecord);
 
-    /** The job is over, and nothing of it is left. */
+    /** Handles the end of a job, when none of its tasks can still be running. */
     void jobEnded(Job job);
 
-    /** All records of open jobs up to this revision were read. */
+    /** Reports that all records of open jobs up to this revision have been read. */
     void openJobsReadUpTo(long revision);
 
-    /** The cycle is over, and these found no room. */
+    /** Handles the end of an admission cycle, with the tasks that could not be placed. */
     void cycleEnded(List<CycleDecisions.PendingTasks> waiting, long nowMicros);
 
-    /** Bookings to stop, since their team or cohort runs more than its limit. */
+    /** Returns the bookings to stop because their team or cohort uses more than its limit. */
     List<Booking> bookingsOverQuota();
 
-    /** The team's limit, or one that limits nothing. */
+    /** Returns the team's limit, which may be unlimited. */
     ResourceAmount limit(String team);
 
     @Override
@@ -54,9 +56,9 @@
         return limit(team).toString();
     }
 
-    /** Which teams are above their limits, for the status line; empty when none is. */
+    /** Returns the teams and cohorts over their limits, for the status line. Empty if there are none. */
     String status();
 
-    /** The term is over. */
+    /** Stops enforcement at the end of the leader term. */
     void end();
 }
--- a/src/main/java/org/weldcourse/quota/enforcement/QuotaHeadroom.java
+++ b/src/main/java/org/weldcourse/quota/enforcement/QuotaHeadroom.java
@@ -3,39 +3,39 @@
 import org.weldcourse.quota.QuotaInvariant;
 import org.weldcourse.quota.ResourceAmount;
 
-/** How much of one limit, of a team or a cohort, counts as used while a snapshot is taken. */
+/** Tracks the usage of one limit, of a team or a cohort, while a snapshot is computed. */
 public final class QuotaHeadroom {
     private final ResourceAmount limit;
     private ResourceAmount used;
 
-    /** A limit of which so much is used for certain. */
+    /** Creates the headroom of a limit with an initial usage. */
     public QuotaHeadroom(ResourceAmount limit, ResourceAmount used) {
         this.limit = limit;
         this.used = used;
     }
 
-    /** Whether so much more may be added. */
+    /** Returns whether the limit allows adding this amount. */
     public boolean hasRoomFor(ResourceAmount amount) {
         return QuotaInvariant.mayAdd(limit, used, amount);
     }
 
-    /** Counts so much more as used. */
+    /** Adds this amount to the usage. */
     public void use(ResourceAmount amount) {
         used = used.plus(amount);
     }
 
-    /** The limit itself. */
+    /** Returns the limit. */
     public ResourceAmount limit() {
         return limit;
     }
 
-    /** All that counts as used. */
+    /** Returns the usage. */
     public ResourceAmount used() {
         return used;
     }
 
-    /** What is left, if this much of what is used did not count. */
-    public ResourceAmount freeWithout(ResourceAmount amount) {
+    /** Returns the free part of the limit, not counting the given part of the usage. */
+    public ResourceAmount freeExcluding(ResourceAmount amount) {
         return limit.minus(used.minus(amount));
     }
 }
--- a/src/main/java/org/weldcourse/quota/enforcement/QuotaSeeder.java
+++ b/src/main/java/org/weldcourse/quota/enforcement/QuotaSeeder.java
@@ -11,10 +11,10 @@
 import org.weldcourse.settings.Settings;
 import org.weldcourse.store.Transaction;
 
-/** Puts the quota of the leader's settings on record for teams that have no record. */
+/** Writes the quota from the leader's settings to the ledger for teams that have no record. */
 final class QuotaSeeder {
     private static final Logger LOG = LoggerFactory.getLogger(QuotaSeeder.class);
-    private static final long PAUSE_MICROS = 1_000_000;
+    private static final long SEED_INTERVAL_MICROS = 1_000_000;
 
     private final Settings settings;
     private final QuotaLedger ledger;
@@ -27,12 +27,12 @@
         this.recorder = recorder;
     }
 
-    /** Writes the missing records, at most once a second and as many as one transaction takes. */
+    /** Writes missing records, at most once per second and as many as fit one transaction. */
     void seedMissing(long nowMicros) {
         if (!ledger.isLoaded() || nowMicros < nextSeedMicros) {
             return;
         }
-        nextSeedMicros = nowMicros + PAUSE_MICROS;
+        nextSeedMicros = nowMicros + SEED_INTERVAL_MICROS;
         List<TeamQuota> missing = new ArrayList<>();
         for (Settings.Team team : settings.teams()) {
             boolean absent = ledger.quota(team.name()) == null && !ledger.isUnreadable(team.name());
@@ -41,15 +41,16 @@
             }
         }
         if (!missing.isEmpty()) {
-            recorder.writeInBackground(txn -> missing.forEach(quota -> addNew(txn, quota)), (commit, unclear) -> {
-                LOG.info("{} team limits put on record from settings: {}", missing.size(), commit.outcome());
+            recorder.writeInBackground(txn -> missing.forEach(quota -> putIfAbsent(txn, quota)), (commit, unclear) -> {
+                LOG.info(
+                        "wrote {} team limits from settings to the quota ledger: {}", missing.size(), commit.outcome());
                 missing.forEach(quota -> ledger.refresh(quota.name(), isRead -> {}));
             });
         }
     }
 
-    private static void addNew(Transaction txn, TeamQuota quota) {
+    private static void putIfAbsent(Transaction txn, TeamQuota quota) {
         String key = QuotaRecordCodec.teamKey(quota.name());
-        txn.ifModRevision(key, 0).put(key, QuotaRecordCodec.value(quota));
+        txn.ifModRevision(key, 0).put(key, QuotaRecordCodec.encode(quota));
     }
 }
--- a/src/main/java/org/weldcourse/quota/enforcement/QuotaSnapshot.java
+++ b/src/main/java/org/weldcourse/quota/enforcement/QuotaSnapshot.java
@@ -17,60 +17,64 @@
 import org.weldcourse.settings.Settings;
 
 /**
- * What counts against each limit at one moment: bookings without evidence of their end, reservations that are not booked
- * yet, and budgets. Where something of it is not known, nothing may be admitted: for the team alone, or for all teams of
- * the cohort that it belongs to.
+ * The usage that counts against each limit at one moment: bookings whose tasks may still be running, reservations
+ * without bookings, and budgets. If any of it is unknown, nothing may be admitted for that team, and possibly for all
+ * teams in its cohort.
  */
 final class QuotaSnapshot {
     private final ClusterState cluster;
     private final Settings settings;
     private final QuotaLedger ledger;
     private final ReservationTracker reservations;
-    private final boolean ledgerIsRead;
+    private final boolean ledgerIsCurrent;
     private final Map<String, QuotaHeadroom> teamHeadrooms = new HashMap<>();
     private final Map<String, QuotaHeadroom> cohortHeadrooms = new HashMap<>();
-    private final Map<String, ReservationTracker.Honoured> honoured = new HashMap<>();
+    private final Map<String, ReservationTracker.AppliedReservations> appliedByTeam = new HashMap<>();
     private final Set<String> blockedCohorts = new HashSet<>();
 
-    /** {@code ledgerIsRead}: the ledger shows all that was written before this leader's election. */
+    /**
+     * Computes the snapshot.
+     *
+     * @param ledgerIsCurrent whether the ledger view includes everything that was written before this leader's election
+     */
     QuotaSnapshot(
             ClusterState cluster,
             Settings settings,
             QuotaLedger ledger,
             ReservationTracker reservations,
-            boolean ledgerIsRead) {
-        this.ledgerIsRead = ledgerIsRead;
+            boolean ledgerIsCurrent) {
+        this.ledgerIsCurrent = ledgerIsCurrent;
         this.cluster = cluster;
         this.settings = settings;
         this.ledger = ledger;
         this.reservations = reservations;
-        if (ledgerIsRead) {
-            settings.teams().forEach(team -> openHeadrooms(team.name()));
-            settings.teams().forEach(team -> honourReservations(team.name()));
+        if (ledgerIsCurrent) {
+            settings.teams().forEach(team -> createHeadrooms(team.name()));
+            settings.teams().forEach(team -> applyReservations(team.name()));
         }
     }
 
-    private void openHeadrooms(String team) {
+    private void createHeadrooms(String team) {
         EffectiveQuota quota = ledger.quota(team);
         if (quota == null) {
             return;
         }
-        ResourceAmount certain = cluster.quotaUsage.usedBy(team).plus(reservations.budgets(team));
-        teamHeadrooms.put(team, new QuotaHeadroom(quota.team().limit(), certain));
+        ResourceAmount used = cluster.quotaUsage.usedBy(team).plus(reservations.outstandingBudgets(team));
+        teamHeadrooms.put(team, new QuotaHeadroom(quota.team().limit(), used));
         CohortQuota cohort = quota.cohort();
         if (cohort == null) {
             return;
         }
         cohortHeadrooms
-                .computeIfAbsent(cohort.name(), name -> new QuotaHeadroom(cohort.limit(), ofUnreadable(name)))
-                .use(certain);
+                .computeIfAbsent(cohort.name(), name -> new QuotaHeadroom(cohort.limit(), usageOfUnreadableTeams(name)))
+                .use(used);
         if (!reservations.isUpToDate(team)) {
             blockedCohorts.add(cohort.name());
         }
     }
 
-    /** What teams use whose records can't be read, and that may belong to the cohort. */
-    private ResourceAmount ofUnreadable(String cohort) {
+    /** Returns the usage of teams that may belong to the cohort but whose records are unreadable. */
+    private ResourceAmount usageOfUnreadableTeams(String cohort) {
         ResourceAmount sum = ResourceAmount.ZERO;
         for (Settings.Team team : settings.teams()) {
             if (ledger.quota(team.name()) == null && ledger.mayBelongTo(team.name(), cohort)) {
@@ -80,16 +84,19 @@
         return sum;
     }
 
-    private void honourReservations(String team) {
-        if (isKnown(team)) {
-            honoured.put(
-                    team, reservations.honour(team, teamHeadrooms.get(team), cohortHeadroom(team), this::unusedTasks));
+    private void applyReservations(String team) {
+        if (isUsageKnown(team)) {
+            appliedByTeam.put(
+                    team,
+                    reservations.applyReservations(
+                            team, teamHeadrooms.get(team), cohortHeadroom(team), this::unusedTasks));
         }
     }
 
     /**
-     * Reserved tasks of a job that wait and are not booked. A reservation is good for the first admission: a job that was
-     * preempted by its own team's higher priority would else take the room back from what preempted it, again and again.
+     * Returns how many reserved tasks of a job wait and are not booked. A reservation covers only the first admission.
+     * Otherwise a job that was preempted by a higher-priority job of its own team would repeatedly reclaim the quota
+     * from that job.
      */
     private int unusedTasks(String id) {
         Job job = cluster.jobs.get(id);
@@ -107,38 +114,41 @@
                 : cohortHeadrooms.get(quota.cohort().name());
     }
 
-    /** Whether all is known that counts against the limits of the team. */
-    boolean isKnown(String team) {
+    /** Returns whether everything that counts against the team's limits is known. */
+    boolean isUsageKnown(String team) {
         EffectiveQuota quota = ledger.quota(team);
-        return ledgerIsRead
+        return ledgerIsCurrent
                 && quota != null
                 && reservations.isUpToDate(team)
                 && (quota.cohort() == null
                         || !blockedCohorts.contains(quota.cohort().name()));
     }
 
-    /** Whether all reservations of the team fit under its limits. */
-    boolean honoursAll(String team) {
-        ReservationTracker.Honoured of = honoured.get(team);
-        return of != null && of.all();
+    /** Returns whether all reservations of the team fit its limits. */
+    boolean allReservationsFit(String team) {
+        ReservationTracker.AppliedReservations applied = appliedByTeam.get(team);
+        return applied != null && applied.allFit();
     }
 
-    /** What the team's limits leave besides its own budgets. */
-    ResourceAmount freeBesideBudgets(String team) {
-        ResourceAmount budgets = reservations.budgets(team);
-        ResourceAmount free = teamHeadrooms.get(team).freeWithout(budgets);
+    /** Returns the free part of the team's limits, not counting its own budgets as used. */
+    ResourceAmount freeExcludingBudgets(String team) {
+        ResourceAmount budgets = reservations.outstandingBudgets(team);
+        ResourceAmount free = teamHeadrooms.get(team).freeExcluding(budgets);
         QuotaHeadroom cohort = cohortHeadroom(team);
-        return cohort == null ? free : free.least(cohort.freeWithout(budgets));
+        return cohort == null ? free : free.min(cohort.freeExcluding(budgets));
     }
 
-    /** How many of the job's waiting tasks are counted as reserved. */
+    /** Returns how many of the job's waiting tasks are counted as reserved. */
     int reservedTasks(Job job) {
-        ReservationTracker.Honoured of = honoured.get(job.spec().team());
-        return of == null ? 0 : of.tasksByJob().getOrDefault(job.spec().id(), 0);
+        ReservationTracker.AppliedReservations applied =
+                appliedByTeam.get(job.spec().team());
+        return applied == null
+                ? 0
+                : applied.tasksByJob().getOrDefault(job.spec().id(), 0);
     }
 
-    /** The teams as the planner sees them. */
-    List<TeamView> views() {
+    /** Returns the teams as seen by the admission cycle. */
+    List<TeamView> teamViews() {
         List<TeamView> views = new ArrayList<>(settings.teams().size());
         for (Settings.Team team : settings.teams()) {
             views.add(view(team));
@@ -148,19 +158,19 @@
 
     private TeamView view(Settings.Team team) {
         String name = team.name();
-        if (isKnown(name)) {
+        if (isUsageKnown(name)) {
             EffectiveQuota quota = ledger.quota(name);
-            Settings.Team terms = new Settings.Team(
+            Settings.Team teamQuota = new Settings.Team(
                     name,
                     quota.team().guarantee().cpus(),
                     quota.team().limit().cpuLimit(),
                     quota.team().guarantee().gpus(),
                     quota.team().limit().gpuLimit());
             ResourceAmount used = teamHeadrooms.get(name).used();
-            return new TeamView(terms, used.cpus(), used.gpus(), cohortView(quota));
+            return new TeamView(teamQuota, used.cpus(), used.gpus(), cohortView(quota));
         }
-        boolean awaitsRecord = ledgerIsRead && ledger.quota(name) == null && !ledger.isUnreadable(name);
-        return awaitsRecord
+        boolean isUnrecorded = ledgerIsCurrent && ledger.quota(name) == null && !ledger.isUnreadable(name);
+        return isUnrecorded
                 ? TeamView.of(team, cluster.quotaUsage.usedBy(name))
                 : new TeamView(team, Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY);
     }
--- a/src/main/java/org/weldcourse/quota/enforcement/RecentDemand.java
+++ b/src/main/java/org/weldcourse/quota/enforcement/RecentDemand.java
@@ -4,15 +4,18 @@
 import java.util.TreeMap;
 import org.weldcourse.quota.ResourceAmount;
 
-/** Which processes accepted jobs of one team lately, and how much these needed: in two windows that follow one another. */
+/**
+ * Counts recently accepted jobs of one team by the process that accepted them, and the largest amount that one of them
+ * needed. The counts cover two consecutive time windows.
+ */
 final class RecentDemand {
     private static final long WINDOW_MICROS = 10_000_000;
 
     private Map<String, Count> current = new TreeMap<>();
     private Map<String, Count> previous = new TreeMap<>();
-    private long beganMicros;
+    private long windowStartMicros;
 
-    /** How many jobs, and the most that one of them needed. */
+    /** The number of jobs and the largest amount that one of them needed, for each resource. */
     record Count(int jobs, ResourceAmount largest) {
         Count plus(Count other) {
             long cpus = Math.max(largest.cpuMillionths(), other.largest.cpuMillionths());
@@ -22,24 +25,24 @@
     }
 
     void add(String owner, ResourceAmount amount, long nowMicros) {
-        turnWindows(nowMicros);
+        rotateWindows(nowMicros);
         current.merge(owner, new Count(1, amount), Count::plus);
     }
 
-    /** The jobs of both windows, by the process that accepted them. */
+    /** Returns the counts over both windows, by the process that accepted the jobs. */
     Map<String, Count> recent(long nowMicros) {
-        turnWindows(nowMicros);
+        rotateWindows(nowMicros);
         Map<String, Count> recent = new TreeMap<>(previous);
         current.forEach((owner, count) -> recent.merge(owner, count, Count::plus));
         return recent;
     }
 
-    private void turnWindows(long nowMicros) {
-        if (nowMicros - beganMicros < WINDOW_MICROS) {
+    private void rotateWindows(long nowMicros) {
+        if (nowMicros - windowStartMicros < WINDOW_MICROS) {
             return;
         }
-        previous = nowMicros - beganMicros < 2 * WINDOW_MICROS ? current : new TreeMap<>();
+        previous = nowMicros - windowStartMicros < 2 * WINDOW_MICROS ? current : new TreeMap<>();
         current = new TreeMap<>();
-        beganMicros = nowMicros;
+        windowStartMicros = nowMicros;
     }
 }
--- a/src/main/java/org/weldcourse/quota/enforcement/ReservationTracker.java
+++ b/src/main/java/org/weldcourse/quota/enforcement/ReservationTracker.java
@@ -11,111 +11,125 @@
 import org.weldcourse.quota.ledger.Reservation;
 
 /**
- * What the leader knows of reservations: which open jobs hold one, and how much of the current budgets was spent. It rests
- * on the jobs' records as read up to some revision. A budget counts as held until a reservation out of it is seen, or until
- * the records were read up to a version of the quota that no longer grants it.
+ * Tracks the reservations of open jobs and the spent part of the current budgets. The data comes from the job records,
+ * which have been read up to some revision.
+ *
+ * <p>A budget counts as used until a reservation from it is seen, or until the job records have been read up to a quota
+ * version that no longer grants it.
  */
 public final class ReservationTracker {
-    private final Map<String, Team> teams = new HashMap<>();
-    private final Map<String, Held> heldByJob = new HashMap<>();
-    private final Int2ObjectHashMap<Held> heldByOrdinal = new Int2ObjectHashMap<>();
+    private final Map<String, TeamState> teams = new HashMap<>();
+    private final Map<String, JobReservation> reservationsByJob = new HashMap<>();
+    private final Int2ObjectHashMap<JobReservation> reservationsByOrdinal = new Int2ObjectHashMap<>();
     private int lastOrdinal;
     private long readRevision;
 
-    private record Held(String job, String team, int ordinal, ResourceAmount perTask, Reservation reservation) {}
+    private record JobReservation(
+            String job, String team, int ordinal, ResourceAmount perTask, Reservation reservation) {}
 
-    private static final class Team {
-        /** The open jobs with a reservation, in the order in which they became known. */
-        final RoaringBitmap reserved = new RoaringBitmap();
+    private static final class TeamState {
+        /** Ordinals of the open jobs with a reservation, in the order in which the jobs were read. */
+        final RoaringBitmap reservedOrdinals = new RoaringBitmap();
 
         final RecentDemand demand = new RecentDemand();
-        /** By version of the team's record: what each process is known to have reserved under it. */
+        /** The amount that each process is known to have reserved, by version of the team's record. */
         final TreeMap<Long, Map<String, ResourceAmount>> spent = new TreeMap<>();
 
         EffectiveQuota quota;
-        /** Budgets in a write whose fate is not known yet. */
+        /** Budgets in a write with an unknown outcome. */
         Map<String, ResourceAmount> pending = Map.of();
     }
 
-    /** How many tasks of which jobs may be admitted out of their reservations, and whether all reservations fit. */
-    public record Honoured(Map<String, Integer> tasksByJob, boolean all) {}
+    /**
+     * The reservations that fit their limits.
+     *
+     * @param tasksByJob the number of tasks that may be admitted from their reservations, by job
+     * @param allFit whether all reservations fit
+     */
+    public record AppliedReservations(Map<String, Integer> tasksByJob, boolean allFit) {}
 
-    private Team team(String name) {
-        return teams.computeIfAbsent(name, unknown -> new Team());
+    private TeamState team(String name) {
+        return teams.computeIfAbsent(name, unknown -> new TeamState());
     }
 
-    /** The team's quota as the ledger shows it now. */
-    public void quotaSeen(EffectiveQuota quota) {
-        Team team = team(quota.team().name());
+    /** Updates the team's quota from the current ledger view. */
+    public void updateQuota(EffectiveQuota quota) {
+        TeamState team = team(quota.team().name());
         if (team.quota == null || quota.version() > team.quota.version()) {
             team.quota = quota;
             team.spent.headMap(quota.team().version()).clear();
         }
     }
 
-    /** A job's record was read for the first time. */
-    public void jobSeen(String job, String teamName, ResourceAmount perTask, Reservation reservation) {
-        Team team = team(teamName);
-        Held held = new Held(job, teamName, ++lastOrdinal, perTask, reservation);
-        heldByJob.put(job, held);
+    /** Adds an open job whose record was read for the first time. */
+    public void addJob(String job, String teamName, ResourceAmount perTask, Reservation reservation) {
+        TeamState team = team(teamName);
+        JobReservation jobReservation = new JobReservation(job, teamName, ++lastOrdinal, perTask, reservation);
+        reservationsByJob.put(job, jobReservation);
         if (!reservation.isNone()) {
-            heldByOrdinal.put(held.ordinal, held);
-            team.reserved.add(held.ordinal);
-            countSpent(team, held);
+            reservationsByOrdinal.put(jobReservation.ordinal, jobReservation);
+            team.reservedOrdinals.add(jobReservation.ordinal);
+            countSpent(team, jobReservation);
         }
     }
 
-    /** A controller accepted a job that needs so much at once: it would reserve that much for the next one like it. */
-    public void demanded(String teamName, String owner, ResourceAmount amount, long nowMicros) {
+    /**
+     * Records that a controller accepted a job that needs this amount concurrently, as an estimate of the reservation
+     * for the next job.
+     */
+    public void recordDemand(String teamName, String owner, ResourceAmount amount, long nowMicros) {
         team(teamName).demand.add(owner, amount, nowMicros);
     }
 
-    private static void countSpent(Team team, Held held) {
-        Reservation reservation = held.reservation;
+    private static void countSpent(TeamState team, JobReservation jobReservation) {
+        Reservation reservation = jobReservation.reservation;
         if (team.quota == null
                 || reservation.quotaVersion() >= team.quota.team().version()) {
             team.spent
                     .computeIfAbsent(reservation.quotaVersion(), version -> new HashMap<>())
-                    .merge(reservation.owner(), held.perTask.times(reservation.tasks()), ResourceAmount::plus);
+                    .merge(
+                            reservation.owner(),
+                            jobReservation.perTask.times(reservation.tasks()),
+                            ResourceAmount::plus);
         }
     }
 
-    /** The job is over and nothing of it is left anywhere. What it spent of a budget stays spent. */
-    public void jobEnded(String job) {
-        Held held = heldByJob.remove(job);
-        if (held != null && heldByOrdinal.remove(held.ordinal) != null) {
-            team(held.team).reserved.remove(held.ordinal);
+    /** Removes a job that has ended and whose tasks can no longer be running. The budget that it spent stays spent. */
+    public void removeJob(String job) {
+        JobReservation jobReservation = reservationsByJob.remove(job);
+        if (jobReservation != null && reservationsByOrdinal.remove(jobReservation.ordinal) != null) {
+            team(jobReservation.team).reservedOrdinals.remove(jobReservation.ordinal);
         }
     }
 
-    /** Every record of an open job with a version up to this one has been read. */
-    public void readUpTo(long revision) {
+    /** Records that all records of open jobs up to this revision have been read. */
+    public void openJobsReadUpTo(long revision) {
         readRevision = Math.max(readRevision, revision);
     }
 
     /**
-     * Whether all is known that was reserved under earlier versions of the team's quota. Nothing can be reserved under them
-     * any more, and before this is known nothing may be admitted or granted.
+     * Returns whether all reservations made under earlier versions of the team's quota are known. No more can be made
+     * under those versions. Until all are known, nothing may be admitted for the team and no budget granted.
      */
     public boolean isUpToDate(String teamName) {
-        Team team = team(teamName);
+        TeamState team = team(teamName);
         return team.quota != null && readRevision >= team.quota.version();
     }
 
-    /** Budgets in a write on its way count like those on record. */
-    public void budgetsPending(String teamName, Map<String, ResourceAmount> budgets) {
+    /** Sets the budgets of a write in progress, which count in addition to the stored ones. */
+    public void setPendingBudgets(String teamName, Map<String, ResourceAmount> budgets) {
         team(teamName).pending = budgets;
     }
 
-    /** What may still be reserved for the team, and what may be soon by a write on its way. */
-    public ResourceAmount budgets(String teamName) {
-        return ResourceAmount.sum(unspent(teamName).values())
+    /** Returns the amount that may still be reserved for the team, including the budgets of a write in progress. */
+    public ResourceAmount outstandingBudgets(String teamName) {
+        return ResourceAmount.sum(unspentBudgets(teamName).values())
                 .plus(ResourceAmount.sum(team(teamName).pending.values()));
     }
 
-    /** What each process may still reserve under the current version. */
-    public Map<String, ResourceAmount> unspent(String teamName) {
-        Team team = team(teamName);
+    /** Returns the amount that each process may still reserve under the current version. */
+    public Map<String, ResourceAmount> unspentBudgets(String teamName) {
+        TeamState team = team(teamName);
         Map<String, ResourceAmount> unspent = new TreeMap<>();
         if (team.quota != null) {
             Map<String, ResourceAmount> spent =
@@ -128,47 +142,48 @@
         return unspent;
     }
 
-    /** The recent demand on the team, by controller process. */
+    /** Returns the recent demand for the team's quota by controller process. */
     Map<String, RecentDemand.Count> demand(String teamName, long nowMicros) {
         return team(teamName).demand.recent(nowMicros);
     }
 
     /**
-     * Adds what is reserved for the team to what is used of its limit and of its cohort's (or null). Reservations are
-     * honoured one after the other while they fit: after the limit was lowered some don't, and their jobs wait like any
-     * that has none.
+     * Adds the team's reservations to the usage of its limit and of its cohort's limit. Reservations are applied one by
+     * one while they fit. Some may not fit after the limit was lowered; their jobs wait like jobs without a
+     * reservation.
      *
-     * @param unusedTasks tells how many tasks of a job are reserved, wait, and are not booked
+     * @param cohortHeadroom the headroom of the cohort, or null
+     * @param unusedTasks returns the number of reserved tasks of a job that wait and are not booked
      */
-    public Honoured honour(
+    public AppliedReservations applyReservations(
             String teamName,
             QuotaHeadroom teamHeadroom,
             QuotaHeadroom cohortHeadroom,
             ToIntFunction<String> unusedTasks) {
-        Team team = team(teamName);
+        TeamState team = team(teamName);
         Map<String, Integer> tasksByJob = new HashMap<>();
-        boolean all = true;
-        var ordinals = team.reserved.getIntIterator();
+        boolean allFit = true;
+        var ordinals = team.reservedOrdinals.getIntIterator();
         while (ordinals.hasNext()) {
-            Held held = heldByOrdinal.get(ordinals.next());
-            int unused = unusedTasks.applyAsInt(held.job);
-            ResourceAmount amount = held.perTask.times(unused);
+            JobReservation jobReservation = reservationsByOrdinal.get(ordinals.next());
+            int unused = unusedTasks.applyAsInt(jobReservation.job);
+            ResourceAmount amount = jobReservation.perTask.times(unused);
             if (!teamHeadroom.hasRoomFor(amount) || cohortHeadroom != null && !cohortHeadroom.hasRoomFor(amount)) {
-                all = false;
+                allFit = false;
             } else if (unused > 0) {
                 teamHeadroom.use(amount);
                 if (cohortHeadroom != null) {
                     cohortHeadroom.use(amount);
                 }
-                tasksByJob.put(held.job, unused);
+                tasksByJob.put(jobReservation.job, unused);
             }
         }
-        return new Honoured(tasksByJob, all);
+        return new AppliedReservations(tasksByJob, allFit);
     }
 
-    /** How many tasks of a job are reserved. */
+    /** Returns the number of reserved tasks of a job. */
     public int reservedTasks(String job) {
-        Held held = heldByJob.get(job);
-        return held == null ? 0 : held.reservation.tasks();
+        JobReservation jobReservation = reservationsByJob.get(job);
+        return jobReservation == null ? 0 : jobReservation.reservation.tasks();
     }
 }
--- a/src/main/java/org/weldcourse/quota/enforcement/SettingsQuotaEnforcement.java
+++ b/src/main/java/org/weldcourse/quota/enforcement/SettingsQuotaEnforcement.java
@@ -14,13 +14,16 @@
 import org.weldcourse.settings.Settings;
 import org.weldcourse.store.Transaction;
 
-/** The limits of this node's settings, which never change while it runs; only the leader counts against them. */
+/**
+ * Enforces the limits of this node's settings, which are fixed while the node runs. Only the leader tracks usage
+ * against them.
+ */
 public final class SettingsQuotaEnforcement implements QuotaEnforcement {
     private final ClusterState cluster;
     private final Settings settings;
     private final Map<String, ResourceAmount> limits = new HashMap<>();
 
-    /** The limits of the teams in the settings, against what the cluster's quota usage counts. */
+    /** Creates the enforcement of the settings' limits against the cluster's quota usage. */
     public SettingsQuotaEnforcement(ClusterState cluster, Settings settings) {
         this.cluster = cluster;
         this.settings = settings;
--- a/src/main/java/org/weldcourse/quota/enforcement/package-info.java
+++ b/src/main/java/org/weldcourse/quota/enforcement/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The leader's side of quota: what counts against each team and cohort, which budgets controllers are granted to reserve
- * from, and what is preempted when a team runs more than its quota.
+ * The leader's quota enforcement: what counts against the limits of each team and cohort, the budgets granted to
+ * controllers for reservations, and the preemption of tasks that exceed a limit.
  */
 package org.weldcourse.quota.enforcement;
--- a/src/main/java/org/weldcourse/quota/ledger/BudgetedSubmissionQuota.java
+++ b/src/main/java/org/weldcourse/quota/ledger/BudgetedSubmissionQuota.java
@@ -7,18 +7,26 @@
 import org.weldcourse.settings.Settings;
 
 /**
- * Reservations out of the budgets that the ledger grants to this process. A budget belongs to one version of the team's
- * record: what was spent of it is never returned, since the next version brings a new budget. A reservation is written on
- * that version, so that it is refused once the budget was taken back, however late the write is carried out.
+ * Makes reservations from the budgets that the ledger grants to this process. A budget belongs to one version of the
+ * team's record. Spent budget is not returned when a job ends, because the next version grants a new budget.
+ *
+ * <p>A reservation is written on condition that the team's record still has that version. The store therefore refuses
+ * the write if the budget has been withdrawn, however late the write arrives.
  */
 public final class BudgetedSubmissionQuota implements SubmissionQuota {
     private final QuotaLedger ledger;
     private final String owner;
-    private final Map<String, Spent> spentByTeam = new HashMap<>();
+    private final Map<String, SpentBudget> spentByTeam = new HashMap<>();
 
-    private record Spent(long version, ResourceAmount amount) {}
+    private record SpentBudget(long version, ResourceAmount amount) {}
 
-    /** {@code owner} names this process: another life under the same name does not know what this one spent. */
+    /**
+     * Creates a reservation source for one process.
+     *
+     * @param ledger this controller's view of the quota records
+     * @param owner identifies this process and not only its node: a restarted process must not reuse the budget of the
+     *     previous one, because it does not know what was spent of it
+     */
     public BudgetedSubmissionQuota(QuotaLedger ledger, String owner) {
         this.ledger = ledger;
         this.owner = owner;
@@ -30,13 +38,13 @@
         if (quota == null) {
             return TeamQuota.ofSettings(team).limit();
         }
-        ResourceAmount own = quota.team().limit();
-        return quota.cohort() == null ? own : own.least(quota.cohort().limit());
+        ResourceAmount teamLimit = quota.team().limit();
+        return quota.cohort() == null ? teamLimit : teamLimit.min(quota.cohort().limit());
     }
 
     @Override
-    public void refresh(String team, Runnable then) {
-        ledger.refresh(team, isRead -> then.run());
+    public void refresh(String team, Runnable callback) {
+        ledger.refresh(team, isRead -> callback.run());
     }
 
     @Override
@@ -46,25 +54,26 @@
             return Grant.none(owner);
         }
         long version = quota.team().version();
-        Spent spent = spentByTeam.getOrDefault(team, new Spent(0, ResourceAmount.ZERO));
+        SpentBudget spent = spentByTeam.getOrDefault(team, new SpentBudget(0, ResourceAmount.ZERO));
         if (version < spent.version()) {
             return Grant.none(owner);
         }
-        ResourceAmount before = version == spent.version() ? spent.amount() : ResourceAmount.ZERO;
+        ResourceAmount spentBefore = version == spent.version() ? spent.amount() : ResourceAmount.ZERO;
         ResourceAmount wanted = perTask.times(tasks);
-        if (!QuotaInvariant.mayAdd(quota.budget(owner), before, wanted)) {
+        if (!QuotaInvariant.mayAdd(quota.budget(owner), spentBefore, wanted)) {
             return Grant.none(owner);
         }
-        spentByTeam.put(team, new Spent(version, before.plus(wanted)));
+        spentByTeam.put(team, new SpentBudget(version, spentBefore.plus(wanted)));
         return new Grant(new Reservation(owner, version, tasks), quota.guards());
     }
 
     @Override
     public void release(String team, ResourceAmount perTask, Reservation reservation) {
-        Spent spent = spentByTeam.get(team);
+        SpentBudget spent = spentByTeam.get(team);
         if (spent != null && spent.version() == reservation.quotaVersion()) {
             ResourceAmount returned = perTask.times(reservation.tasks());
-            spentByTeam.put(team, new Spent(spent.version(), spent.amount().minus(returned)));
+            spentByTeam.put(
+                    team, new SpentBudget(spent.version(), spent.amount().minus(returned)));
         }
     }
 }
--- a/src/main/java/org/weldcourse/quota/ledger/CohortQuotaEdit.java
+++ b/src/main/java/org/weldcourse/quota/ledger/CohortQuotaEdit.java
@@ -3,20 +3,20 @@
 import java.util.Locale;
 import org.weldcourse.store.Transaction;
 
-/** A change of a cohort's record, which is created where there is none. */
+/** A change to a cohort's record. The record is created if it does not exist. */
 record CohortQuotaEdit(String name, QuotaChange change) implements QuotaEdit<CohortQuota> {
-    private CohortQuota onRecord(LedgerContents contents) {
+    private CohortQuota currentRecord(LedgerContents contents) {
         return contents.cohorts().getOrDefault(name, CohortQuota.unlimited(name));
     }
 
     @Override
-    public CohortQuota terms(LedgerContents contents) {
-        return onRecord(contents).withVersion(0);
+    public CohortQuota spec(LedgerContents contents) {
+        return currentRecord(contents).withVersion(0);
     }
 
     @Override
     public CohortQuota changed(LedgerContents contents) {
-        return change.applyTo(onRecord(contents));
+        return change.applyTo(currentRecord(contents));
     }
 
     @Override
@@ -33,13 +33,13 @@
     public Transaction transaction(LedgerContents contents) {
         CohortQuota changed = changed(contents);
         String key = QuotaRecordCodec.cohortKey(name);
-        return new Transaction().ifModRevision(key, changed.version()).put(key, QuotaRecordCodec.value(changed));
+        return new Transaction().ifModRevision(key, changed.version()).put(key, QuotaRecordCodec.encode(changed));
     }
 
     @Override
-    public String describe(CohortQuota terms) {
-        return "CohortLimit[name=" + terms.name() + ", limit=" + terms.limit() + ", overLimit="
-                + terms.overQuotaPolicy().externalName().toUpperCase(Locale.ROOT) + ", version=" + terms.version()
+    public String describe(CohortQuota spec) {
+        return "CohortLimit[name=" + spec.name() + ", limit=" + spec.limit() + ", overLimit="
+                + spec.overQuotaPolicy().externalName().toUpperCase(Locale.ROOT) + ", version=" + spec.version()
                 + "]";
     }
 }
--- a/src/main/java/org/weldcourse/quota/ledger/EffectiveQuota.java
+++ b/src/main/java/org/weldcourse/quota/ledger/EffectiveQuota.java
@@ -5,26 +5,31 @@
 import org.weldcourse.quota.ResourceAmount;
 
 /**
- * A team's record with that of its cohort, as one view of the ledger shows them; {@code cohort} is null for a team that
- * belongs to none. What is decided on them is written on the versions of both.
+ * A team's record together with the record of its cohort, as one view of the ledger shows them. Decisions based on them
+ * are written on condition that both records still have these versions.
+ *
+ * @param cohort null if the team belongs to no cohort
  */
 public record EffectiveQuota(TeamQuota team, CohortQuota cohort) {
-    /** The version of the newer record: from then on nothing can be written on what stood before. */
+    /**
+     * Returns the newer of both record versions. Since that revision, no write that is conditional on older versions
+     * can succeed.
+     */
     public long version() {
         return cohort == null ? team.version() : Math.max(team.version(), cohort.version());
     }
 
-    /** Whether the team belongs to the cohort of this name. */
+    /** Returns whether the team belongs to the cohort with this name. */
     public boolean isIn(String cohortName) {
         return cohort != null && cohort.name().equals(cohortName);
     }
 
-    /** Whether neither the team nor its cohort is limited: then there is nothing to reserve. */
+    /** Returns whether neither the team nor its cohort is limited, so that no reservations are needed. */
     public boolean isUnlimited() {
         return team.limit().isUnlimited() && (cohort == null || cohort.limit().isUnlimited());
     }
 
-    /** The versions on which a decision has to be written, by key. */
+    /** Returns the versions, by key, on which the write of a decision must be conditional. */
     public Map<String, Long> guards() {
         Map<String, Long> guards = new LinkedHashMap<>();
         guards.put(QuotaRecordCodec.teamKey(team.name()), team.version());
@@ -34,18 +39,21 @@
         return guards;
     }
 
-    /** Budgets are void once the cohort's record has changed since they were granted. */
-    public boolean budgetsHold() {
+    /**
+     * Returns whether the budgets are valid: any change to the cohort's record after they were granted invalidates
+     * them.
+     */
+    public boolean areBudgetsValid() {
         return cohort == null || team.budgetsCohortVersion() == cohort.version();
     }
 
-    /** The budget of a controller process, as far as it still holds. */
+    /** Returns the valid budget of a controller process, or zero. */
     public ResourceAmount budget(String owner) {
-        return budgetsHold() ? team.budget(owner) : ResourceAmount.ZERO;
+        return areBudgetsValid() ? team.budget(owner) : ResourceAmount.ZERO;
     }
 
-    /** The budgets that still hold. */
+    /** Returns the valid budgets by controller process. */
     public Map<String, ResourceAmount> budgets() {
-        return budgetsHold() ? team.budgets() : Map.of();
+        return areBudgetsValid() ? team.budgets() : Map.of();
     }
 }
--- a/src/main/java/org/weldcourse/quota/ledger/OverQuotaPolicy.java
+++ b/src/main/java/org/weldcourse/quota/ledger/OverQuotaPolicy.java
@@ -2,28 +2,28 @@
 
 import java.util.Optional;
 
-/** What happens to the tasks of a team that runs more than its limit after the limit was lowered. */
+/** What happens to the running tasks of a team or cohort that uses more than its limit after the limit was lowered. */
 public enum OverQuotaPolicy {
-    /** They run to their end, and nothing new starts meanwhile. */
+    /** Running tasks continue to their end, and no new tasks start until usage is below the limit. */
     DRAIN("drain"),
-    /** As many as are over the limit are preempted, those of low priority first. */
+    /** Tasks are preempted, lowest priority first, until usage fits the limit. */
     PREEMPT("displace");
 
     private final String externalName;
 
-    OverQuotaPolicy(String word) {
-        this.externalName = word;
+    OverQuotaPolicy(String name) {
+        this.externalName = name;
     }
 
-    /** The policy's name in records and on the command line. */
+    /** Returns the name used in stored records and on the command line. */
     public String externalName() {
         return externalName;
     }
 
-    /** The policy of this name, if there is one. */
-    public static Optional<OverQuotaPolicy> fromExternalName(String word) {
+    /** Returns the policy with this external name, or empty if there is none. */
+    public static Optional<OverQuotaPolicy> fromExternalName(String name) {
         for (OverQuotaPolicy policy : values()) {
-            if (policy.externalName.equals(word)) {
+            if (policy.externalName.equals(name)) {
                 return Optional.of(policy);
             }
         }
--- a/src/main/java/org/weldcourse/quota/ledger/QuotaChange.java
+++ b/src/main/java/org/weldcourse/quota/ledger/QuotaChange.java
@@ -4,8 +4,8 @@
 import org.weldcourse.quota.ledger.QuotaLedgerException.Reason;
 
 /**
- * What an operator changes of a team's or a cohort's quota, in CPUs and GPUs; null fields stay as they are. Limits of 0 mean
- * none, and the cohort {@code none} is none.
+ * An operator's change to the quota of a team or cohort, in CPUs and GPUs. Null fields stay unchanged. A limit of 0
+ * means no limit, and the cohort name {@code none} removes the team from its cohort.
  */
 public record QuotaChange(
         Double cpuGuarantee,
@@ -17,11 +17,11 @@
     private static final String NO_COHORT = "none";
     private static final double MAX_AMOUNT = 1e9;
 
-    /** The team's record with the change, without budgets. */
+    /** Returns the team's record with this change and without budgets. */
     TeamQuota applyTo(TeamQuota quota) {
         ResourceAmount guarantee = ResourceAmount.of(
-                or(cpuGuarantee, quota.guarantee().cpus()),
-                or(gpuGuarantee, quota.guarantee().gpus()));
+                orElse(cpuGuarantee, quota.guarantee().cpus()),
+                orElse(gpuGuarantee, quota.guarantee().gpus()));
         return new TeamQuota(
                 quota.name(),
                 guarantee,
@@ -31,7 +31,7 @@
                 quota.version());
     }
 
-    /** The cohort's record with the change. */
+    /** Returns the cohort's record with this change. */
     CohortQuota applyTo(CohortQuota quota) {
         return new CohortQuota(
                 quota.name(),
@@ -41,25 +41,25 @@
     }
 
     private ResourceAmount changedLimit(ResourceAmount limit) {
-        return ResourceAmount.limit(or(cpuLimit, limit.cpuLimit()), or(gpuLimit, limit.gpuLimit()));
+        return ResourceAmount.limit(orElse(cpuLimit, limit.cpuLimit()), orElse(gpuLimit, limit.gpuLimit()));
     }
 
-    private static double or(Double number, double otherwise) {
-        return number == null ? otherwise : number;
+    private static double orElse(Double number, double defaultValue) {
+        return number == null ? defaultValue : number;
     }
 
-    /** Refuses amounts that are no sound numbers, named as on the command line. */
-    void requireSoundAmounts() throws QuotaLedgerException {
-        requireSound("cpus", cpuGuarantee);
-        requireSound("cpus-max", cpuLimit);
-        requireSound("gpus", gpuGuarantee);
-        requireSound("gpus-max", gpuLimit);
+    /** Checks that all amounts are valid numbers. Error messages use the option names of the command line. */
+    void validateAmounts() throws QuotaLedgerException {
+        validateAmount("cpus", cpuGuarantee);
+        validateAmount("cpus-max", cpuLimit);
+        validateAmount("gpus", gpuGuarantee);
+        validateAmount("gpus-max", gpuLimit);
     }
 
-    private static void requireSound(String option, Double number) throws QuotaLedgerException {
-        // Written so that NaN is refused.
-        boolean isSound = number == null || number >= 0 && number <= MAX_AMOUNT;
-        if (!isSound) {
+    private static void validateAmount(String option, Double number) throws QuotaLedgerException {
+        // The comparison is written so that NaN is refused.
+        boolean isValid = number == null || number >= 0 && number <= MAX_AMOUNT;
+        if (!isValid) {
             throw new QuotaLedgerException(
                     Reason.INVALID_AMOUNT,
                     option + ": must be a number from 0 to " + (long) MAX_AMOUNT + ", not " + number);
--- a/src/main/java/org/weldcourse/quota/ledger/QuotaCommand.java
+++ b/src/main/java/org/weldcourse/quota/ledger/QuotaCommand.java
@@ -20,26 +20,29 @@
 import org.weldcourse.store.Store;
 import org.weldcourse.store.Store.Outcome;
 
-/** {@code weldcourse limits show|set|set-cohort}: reads and changes quota on record, without a controller. */
+/**
+ * Implements {@code weldcourse limits show|set|set-cohort}, which reads and changes the quota records in the store
+ * directly, without a controller.
+ */
 public final class QuotaCommand {
     private static final long TIMEOUT_SECONDS = 30;
     private static final int IDLE_CONNECTIONS = 1;
 
     private final Settings settings;
 
-    /** A command on the store that these settings name. */
+    /** Creates a command for the store at the address in the settings. */
     public QuotaCommand(Settings settings) {
         this.settings = settings;
     }
 
     /**
-     * Prints the quota of every team and cohort, one a line.
+     * Prints the quota of every team and cohort, one per line.
      *
      * @throws QuotaLedgerException if the store does not answer
-     * @throws TimeoutException if the store took too long
+     * @throws TimeoutException if the operation takes too long
      */
     public void show(PrintStream out) throws Exception {
-        Store.Listing listing = await((store, done) -> store.list(QuotaRecordCodec.PREFIX, done));
+        Store.Listing listing = await((store, callback) -> store.list(QuotaRecordCodec.PREFIX, callback));
         if (listing.outcome() != Outcome.OK) {
             throw new QuotaLedgerException(Reason.STORE_UNAVAILABLE, "the state service does not answer");
         }
@@ -58,8 +61,8 @@
     private static String line(Store.Entry entry) {
         try {
             return QuotaRecordCodec.isCohort(entry.key())
-                    ? line(QuotaRecordCodec.readCohort(entry))
-                    : line(QuotaRecordCodec.readTeam(entry));
+                    ? line(QuotaRecordCodec.decodeCohort(entry))
+                    : line(QuotaRecordCodec.decodeTeam(entry));
         } catch (UnreadableQuotaRecordException unreadable) {
             return unreadable.key() + "  unreadable, nothing is admitted: " + unreadable.problem();
         }
@@ -95,11 +98,11 @@
     }
 
     /**
-     * Changes one team's quota and prints it.
+     * Changes the quota of one team and prints the new record.
      *
-     * @throws InvalidSettingsException if the settings have no team of this name
-     * @throws QuotaLedgerException if nothing was changed
-     * @throws TimeoutException if the store took too long
+     * @throws InvalidSettingsException if the settings contain no team with this name
+     * @throws QuotaLedgerException if the change failed
+     * @throws TimeoutException if the operation takes too long
      */
     public void set(String teamName, QuotaChange change, PrintStream out) throws Exception {
         Settings.Team team = settings.team(teamName);
@@ -107,30 +110,31 @@
             throw new InvalidSettingsException(
                     InvalidSettingsException.Problem.UNKNOWN, "team", "team: " + teamName + " is not in the settings");
         }
-        QuotaEditor.Result<TeamQuota> result = await((store, done) -> new QuotaEditor(store).set(team, change, done));
+        QuotaEditor.Result<TeamQuota> result =
+                await((store, callback) -> new QuotaEditor(store).set(team, change, callback));
         out.println(line(result.orThrow()));
     }
 
     /**
-     * Changes or creates a cohort and prints it.
+     * Changes or creates a cohort and prints the new record.
      *
-     * @throws QuotaLedgerException if nothing was changed
-     * @throws TimeoutException if the store took too long
+     * @throws QuotaLedgerException if the change failed
+     * @throws TimeoutException if the operation takes too long
      */
     public void setCohort(String name, QuotaChange change, PrintStream out) throws Exception {
         QuotaEditor.Result<CohortQuota> result =
-                await((store, done) -> new QuotaEditor(store).setCohort(name, change, done));
+                await((store, callback) -> new QuotaEditor(store).setCohort(name, change, callback));
         out.println(line(result.orThrow()));
     }
 
-    /** Runs asynchronous work on an event loop of its own, and waits for its result. */
-    private <T> T await(BiConsumer<Store, Consumer<T>> work) throws Exception {
+    /** Runs an asynchronous operation on its own event loop and waits for the result. */
+    private <T> T await(BiConsumer<Store, Consumer<T>> operation) throws Exception {
         EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
         try {
             Store store = new Store(
                     new NettyCaller(loop, () -> IDLE_CONNECTIONS), new EventLoopTimers(loop), settings.storeAddress());
             CompletableFuture<T> result = new CompletableFuture<>();
-            loop.execute(() -> work.accept(store, result::complete));
+            loop.execute(() -> operation.accept(store, result::complete));
             return result.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } finally {
             loop.parent().shutdownGracefully(0, 100, TimeUnit.MILLISECONDS);
--- a/src/main/java/org/weldcourse/quota/ledger/QuotaEdit.java
+++ b/src/main/java/org/weldcourse/quota/ledger/QuotaEdit.java
@@ -3,25 +3,31 @@
 import org.weldcourse.store.Transaction;
 
 /**
- * An operator's change of one record, worked out anew on whatever the ledger holds when it is tried. The terms of a record
- * are what operators set of it: all but its version and its budgets, which the leader changes all the time.
+ * An operator's change to one record. Each attempt applies it to the current contents of the ledger.
+ *
+ * <p>The spec of a record is what operators configure: the record without its version and its budgets, which the leader
+ * changes frequently.
  */
 interface QuotaEdit<T> {
-    /** The record's terms as they stand. */
-    T terms(LedgerContents contents);
+    /** Returns the current spec of the record. */
+    T spec(LedgerContents contents);
 
-    /** The record with the change, under the version that stands. */
+    /** Returns the record with the change applied, under its current version. */
     T changed(LedgerContents contents);
 
-    /** The same record under another version. */
+    /** Returns the same record with another version. */
     T withVersion(T quota, long version);
 
-    /** Refuses a change that breaks a rule of the ledger. */
+    /**
+     * Checks the changed record against the rules of the ledger.
+     *
+     * @throws QuotaLedgerException if the change breaks a rule
+     */
     void check(LedgerContents contents) throws QuotaLedgerException;
 
-    /** The one write that makes the change. */
+    /** Returns the transaction that writes the change. */
     Transaction transaction(LedgerContents contents);
 
-    /** The terms in the words that the command has always printed them in. */
-    String describe(T terms);
+    /** Returns the spec in the output format of the {@code limits} command, which operators' tools parse. */
+    String describe(T spec);
 }
--- a/src/main/java/org/weldcourse/quota/ledger/QuotaEditAttempt.java
+++ b/src/main/java/org/weldcourse/quota/ledger/QuotaEditAttempt.java
@@ -5,31 +5,35 @@
 import org.weldcourse.store.Store;
 import org.weldcourse.store.Store.Outcome;
 
-/** One edit, tried by read and compare-and-swap until it is certain what became of it. */
+/**
+ * Applies one edit by read and compare-and-swap. It retries until the outcome is certain or the retries are used up.
+ */
 final class QuotaEditAttempt<T> {
     private final Store store;
     private final QuotaEdit<T> edit;
-    private final Consumer<? super QuotaEditor.Result<T>> then;
-    /** The terms that stood on record when the edit began, and those that it would leave. */
-    private T termsAtFirst;
+    private final Consumer<? super QuotaEditor.Result<T>> callback;
+    /** The spec that was stored when the edit began. */
+    private T initialSpec;
 
-    private T wantedTerms;
-    /** Whether the fate of an earlier write is not known. */
-    private boolean unclear;
+    /** The spec that the edit would store. */
+    private T desiredSpec;
+    /** Whether an earlier write ended with an unknown outcome. */
+    private boolean outcomeUnknown;
 
-    QuotaEditAttempt(Store store, QuotaEdit<T> edit, Consumer<? super QuotaEditor.Result<T>> then) {
+    QuotaEditAttempt(Store store, QuotaEdit<T> edit, Consumer<? super QuotaEditor.Result<T>> callback) {
         this.store = store;
         this.edit = edit;
-        this.then = then;
+        this.callback = callback;
     }
 
-    /** Tries the edit, and after a conflict this many times more. */
+    /** Attempts the edit, and retries up to the given number of times after a conflict or an unknown outcome. */
     void start(int retries) {
         store.list(QuotaRecordCodec.PREFIX, listing -> {
             if (listing.outcome() != Outcome.OK) {
                 fail(new QuotaLedgerException(
                         Reason.STORE_UNAVAILABLE,
-                        "the state service does not answer" + (unclear ? "; see whether it was changed" : "")));
+                        "the state service does not answer"
+                                + (outcomeUnknown ? "; check whether the change was made" : "")));
                 return;
             }
             try {
@@ -43,12 +47,12 @@
     }
 
     private void write(LedgerContents contents, int retries) throws QuotaLedgerException {
-        T terms = edit.terms(contents);
-        if (termsAtFirst == null) {
-            termsAtFirst = terms;
-            wantedTerms = edit.withVersion(edit.changed(contents), 0);
-        } else if (!termsAtFirst.equals(terms)) {
-            settleChanged(contents, terms);
+        T spec = edit.spec(contents);
+        if (initialSpec == null) {
+            initialSpec = spec;
+            desiredSpec = edit.withVersion(edit.changed(contents), 0);
+        } else if (!initialSpec.equals(spec)) {
+            resolveChangedSpec(contents, spec);
             return;
         }
         edit.check(contents);
@@ -58,26 +62,29 @@
             } else if (commit.outcome() == Outcome.INVALID || retries == 0) {
                 fail(new QuotaLedgerException(Reason.STORE_REFUSED, "the state service refuses the change"));
             } else {
-                unclear |= commit.outcome() == Outcome.UNKNOWN;
+                outcomeUnknown |= commit.outcome() == Outcome.UNKNOWN;
                 start(retries - 1);
             }
         });
     }
 
-    /** Either an earlier try of this edit was carried out, or somebody else changed the record. */
-    private void settleChanged(LedgerContents contents, T terms) throws QuotaLedgerException {
-        if (!unclear || !wantedTerms.equals(terms)) {
+    /**
+     * Handles a spec that differs from the initial one: either an earlier attempt of this edit succeeded, or another
+     * writer changed the record.
+     */
+    private void resolveChangedSpec(LedgerContents contents, T spec) throws QuotaLedgerException {
+        if (!outcomeUnknown || !desiredSpec.equals(spec)) {
             throw new QuotaLedgerException(
-                    Reason.CHANGED_MEANWHILE, "the record was changed meanwhile: " + edit.describe(terms));
+                    Reason.CONCURRENT_CHANGE, "the record was changed meanwhile: " + edit.describe(spec));
         }
         succeed(edit.withVersion(edit.changed(contents), 0));
     }
 
-    private void succeed(T onRecord) {
-        then.accept(new QuotaEditor.Result<>(onRecord, null));
+    private void succeed(T storedRecord) {
+        callback.accept(new QuotaEditor.Result<>(storedRecord, null));
     }
 
     private void fail(QuotaLedgerException failure) {
-        then.accept(new QuotaEditor.Result<>(null, failure));
+        callback.accept(new QuotaEditor.Result<>(null, failure));
     }
 }
--- a/src/main/java/org/weldcourse/quota/ledger/QuotaEditor.java
+++ b/src/main/java/org/weldcourse/quota/ledger/QuotaEditor.java
@@ -5,59 +5,62 @@
 import org.weldcourse.store.Store;
 
 /**
- * Changes quota on record, for operators. A new limit holds from its one conditional write on: the write makes all budgets
- * that rested on the old record void, so that whatever a controller still decides on it is refused. A change of a team in a
- * cohort writes the cohort's record as well, so that two changes which are sound alone but not together can't both succeed.
+ * Changes quota records on behalf of operators. A new limit is in force as soon as its conditional write succeeds: the
+ * write changes the record's version, which invalidates all budgets granted under the old one, so that the store
+ * refuses every write that is still based on it.
+ *
+ * <p>A change to a team in a cohort writes the cohort's record too. Of two concurrent changes that are each valid but
+ * not valid together, only one can then succeed.
  */
 public final class QuotaEditor {
-    /** Budgets change while a limit is set; that alone is no reason to give up. */
+    /** Enough retries for the budget changes that the leader may write while an edit is in progress. */
     private static final int RETRIES = 20;
 
     private final Store store;
 
-    /** An editor of the ledger in this store. */
+    /** Creates an editor for the ledger in this store. */
     public QuotaEditor(Store store) {
         this.store = store;
     }
 
-    /** How a change ended: with the record as it stands now, or with what kept it from being made; the other is null. */
-    public record Result<T>(T onRecord, QuotaLedgerException failure) {
-        /** Whether the change is on record. */
+    /** The result of an edit: either the stored record or the reason for the failure. The other is null. */
+    public record Result<T>(T storedRecord, QuotaLedgerException failure) {
+        /** Returns whether the change is stored. */
         public boolean isChanged() {
             return failure == null;
         }
 
-        /** What stands on record now. */
+        /** Returns the stored record. */
         public T orThrow() throws QuotaLedgerException {
             if (failure != null) {
                 throw failure;
             }
-            return onRecord;
+            return storedRecord;
         }
 
-        /** Why the change was not made, or null. */
+        /** Returns why the edit failed, or null. */
         public String problem() {
             return failure == null ? null : failure.getMessage();
         }
     }
 
-    /** Changes one team's quota. */
-    public void set(Settings.Team team, QuotaChange change, Consumer<? super Result<TeamQuota>> then) {
-        make(new TeamQuotaEdit(team, change), change, then);
+    /** Changes the quota of one team. */
+    public void set(Settings.Team team, QuotaChange change, Consumer<? super Result<TeamQuota>> callback) {
+        apply(new TeamQuotaEdit(team, change), change, callback);
     }
 
-    /** Changes a cohort's quota, or creates the cohort. */
-    public void setCohort(String name, QuotaChange change, Consumer<? super Result<CohortQuota>> then) {
-        make(new CohortQuotaEdit(name, change), change, then);
+    /** Changes the quota of a cohort, or creates the cohort. */
+    public void setCohort(String name, QuotaChange change, Consumer<? super Result<CohortQuota>> callback) {
+        apply(new CohortQuotaEdit(name, change), change, callback);
     }
 
-    private <T> void make(QuotaEdit<T> edit, QuotaChange change, Consumer<? super Result<T>> then) {
+    private <T> void apply(QuotaEdit<T> edit, QuotaChange change, Consumer<? super Result<T>> callback) {
         try {
-            change.requireSoundAmounts();
-        } catch (QuotaLedgerException unsound) {
-            then.accept(new Result<>(null, unsound));
+            change.validateAmounts();
+        } catch (QuotaLedgerException invalid) {
+            callback.accept(new Result<>(null, invalid));
             return;
         }
-        new QuotaEditAttempt<>(store, edit, then).start(RETRIES);
+        new QuotaEditAttempt<>(store, edit, callback).start(RETRIES);
     }
 }
--- a/src/main/java/org/weldcourse/quota/ledger/QuotaLedger.java
+++ b/src/main/java/org/weldcourse/quota/ledger/QuotaLedger.java
@@ -11,12 +11,12 @@
 import org.weldcourse.store.Store.Outcome;
 
 /**
- * A controller's view of the ledger: read once as a list, then by its changes. The view may lag; whatever is decided
- * on it is written on the version that it shows, so that a decision on an old version is refused.
+ * A controller's view of the quota records: loaded by a listing and updated by a watch. The view may be stale, so every
+ * decision based on it is written on condition that the records still have the versions that the view shows.
  */
 public final class QuotaLedger extends ScheduledTask {
-    private static final long RETRY_MICROS = 300_000;
-    private static final long WATCH_MICROS = 20_000_000;
+    private static final long RETRY_DELAY_MICROS = 300_000;
+    private static final long WATCH_TIMEOUT_MICROS = 20_000_000;
 
     private final Store store;
     private final Timers timers;
@@ -25,7 +25,7 @@
     private long readRevision;
     private boolean loaded;
 
-    /** A view that is filled once it is started. */
+    /** Creates an empty view, which loads the records once it is started. */
     public QuotaLedger(Store store, Settings settings, Clock clock, Timers timers) {
         super("quota ledger", clock, timers);
         this.store = store;
@@ -33,84 +33,90 @@
         this.records = new QuotaRecords(new SettingsComparison(settings)::compare);
     }
 
-    /** Runs whenever the view has changed. */
+    /** Adds a listener that runs after each change of the view. */
     public void onChange(Runnable listener) {
         listeners.add(listener);
     }
 
-    /** No longer tells this listener. */
+    /** Removes a listener. */
     public void removeListener(Runnable listener) {
         listeners.remove(listener);
     }
 
-    /** Whether the whole ledger has been read at least once. */
+    /** Returns whether the whole ledger has been read at least once. */
     public boolean isLoaded() {
         return loaded;
     }
 
-    /** Whether all records of the ledger with a version up to this one have been read. */
+    /** Returns whether all changes of the ledger up to this revision have been read. */
     public boolean isReadUpTo(long revision) {
         return loaded && readRevision >= revision;
     }
 
-    /** The team's quota with its cohort's, or null where one of them is missing or can't be read. */
+    /** Returns the team's record with that of its cohort, or null if either is missing or unreadable. */
     public EffectiveQuota quota(String team) {
         return records.quota(team);
     }
 
     /**
-     * Whether the team may belong to the cohort: a record that can't be read is taken to belong to the one that it last
-     * showed, or to any if none was seen.
+     * Returns whether the team may belong to the cohort. A team whose record is unreadable is assumed to belong to the
+     * cohort in its last readable record, or to any cohort if no readable record was seen.
      */
     public boolean mayBelongTo(String team, String cohort) {
         return records.mayBelongTo(team, cohort);
     }
 
-    /** Whether a record of the team or its cohort can't be used: nothing is reserved or admitted for it. */
+    /**
+     * Returns whether the record of the team or its cohort is unusable, in which case nothing is reserved or admitted
+     * for the team.
+     */
     public boolean isUnreadable(String team) {
         return records.isUnreadable(team);
     }
 
-    /** Reads the whole ledger again, beside the watch that is under way, and tells whether it was read. */
-    public void readAgain(Consumer<Boolean> then) {
+    /**
+     * Reads the whole ledger again, independently of the running watch. The callback receives whether the read
+     * succeeded.
+     */
+    public void reload(Consumer<Boolean> callback) {
         store.list(QuotaRecordCodec.PREFIX, listing -> {
             boolean isRead = isRunning() && listing.outcome() == Outcome.OK;
             if (isRead) {
                 accept(listing);
             }
-            then.accept(isRead);
+            callback.accept(isRead);
         });
     }
 
     /**
-     * Reads one team's record anew, for a decision that was refused or that must not rest on an old view, and tells whether
-     * it was read.
+     * Reads the records of one team and its cohort again, after a write based on them was refused or when a decision
+     * needs a current view. The callback receives whether the read succeeded.
      */
-    public void refresh(String team, Consumer<Boolean> then) {
+    public void refresh(String team, Consumer<Boolean> callback) {
         read(QuotaRecordCodec.teamKey(team), isRead -> {
             String cohort = records.lastKnownCohort(team);
             if (!isRead || cohort == null) {
-                then.accept(isRead);
+                callback.accept(isRead);
             } else {
-                read(QuotaRecordCodec.cohortKey(cohort), then);
+                read(QuotaRecordCodec.cohortKey(cohort), callback);
             }
         });
     }
 
-    private void read(String key, Consumer<Boolean> then) {
+    private void read(String key, Consumer<Boolean> callback) {
         store.get(key, read -> {
             if (read.outcome() == Outcome.OK) {
                 records.accept(read.entry());
-                tellListeners();
+                notifyListeners();
             }
-            then.accept(read.outcome() == Outcome.OK || read.outcome() == Outcome.REFUSED);
+            callback.accept(read.outcome() == Outcome.OK || read.outcome() == Outcome.REFUSED);
         });
     }
 
-    /** Takes over a record that this controller wrote itself. */
-    public void written(TeamQuota quota) {
+    /** Updates the view with a record that this controller wrote. */
+    public void recordWritten(TeamQuota quota) {
         records.accept(quota);
-        tellListeners();
+        notifyListeners();
     }
 
     @Override
@@ -120,7 +126,7 @@
                 return;
             }
             if (listing.outcome() != Outcome.OK) {
-                wakeIn(RETRY_MICROS);
+                wakeIn(RETRY_DELAY_MICROS);
                 return;
             }
             accept(listing);
@@ -133,11 +139,11 @@
         records.accept(listing);
         readRevision = Math.max(readRevision, listing.revision());
         loaded = true;
-        tellListeners();
+        notifyListeners();
     }
 
     private void watch(long revision) {
-        store.watch(QuotaRecordCodec.PREFIX, revision, WATCH_MICROS, events -> {
+        store.watch(QuotaRecordCodec.PREFIX, revision, WATCH_TIMEOUT_MICROS, events -> {
             if (!isRunning()) {
                 return;
             }
@@ -147,16 +153,16 @@
                 events.events().forEach(records::accept);
                 readRevision = Math.max(readRevision, events.revision());
                 if (!events.events().isEmpty()) {
-                    tellListeners();
+                    notifyListeners();
                 }
                 watch(Math.max(revision, events.revision()));
             } else {
-                timers.after(RETRY_MICROS, () -> watch(revision));
+                timers.after(RETRY_DELAY_MICROS, () -> watch(revision));
             }
         });
     }
 
-    private void tellListeners() {
+    private void notifyListeners() {
         new ArrayList<>(listeners).forEach(Runnable::run);
     }
 }
--- a/src/main/java/org/weldcourse/quota/ledger/QuotaLedgerException.java
+++ b/src/main/java/org/weldcourse/quota/ledger/QuotaLedgerException.java
@@ -1,26 +1,26 @@
 package org.weldcourse.quota.ledger;
 
-/** Why an operator's call read or changed nothing in the ledger. The message is the line that the operator gets. */
+/** Thrown when an operator's read or change of the ledger fails. The message is printed to the operator. */
 public final class QuotaLedgerException extends Exception {
     private final Reason reason;
 
-    /** What went wrong. */
+    /** The kind of failure. */
     public enum Reason {
         /** An amount is negative, not a number, or too large. */
         INVALID_AMOUNT,
         /** The guarantee would exceed the limit. */
         GUARANTEE_OVER_LIMIT,
-        /** The team would belong to a cohort that is not on record. */
+        /** The ledger has no record of the cohort that the team would join. */
         UNKNOWN_COHORT,
         /** The cohort's limit would not cover the guarantees of its teams. */
         COHORT_TOO_SMALL,
-        /** A record of the ledger can't be read, so that the change can't be judged. */
+        /** A ledger record is unreadable, so the change cannot be validated. */
         UNREADABLE_RECORD,
-        /** Somebody else changed the same record meanwhile. */
-        CHANGED_MEANWHILE,
-        /** The store gave no answer; a change may have been made. */
+        /** Another writer changed the same record during the edit. */
+        CONCURRENT_CHANGE,
+        /** The store did not answer; the change may have been made. */
         STORE_UNAVAILABLE,
-        /** The store refuses the write. */
+        /** The store refused the write. */
         STORE_REFUSED
     }
 
@@ -34,7 +34,7 @@
         this.reason = Reason.UNREADABLE_RECORD;
     }
 
-    /** What went wrong. */
+    /** Returns the kind of failure. */
     public Reason reason() {
         return reason;
     }
--- a/src/main/java/org/weldcourse/quota/ledger/QuotaRecordCodec.java
+++ b/src/main/java/org/weldcourse/quota/ledger/QuotaRecordCodec.java
@@ -10,40 +10,40 @@
 import org.weldcourse.quota.ResourceAmount;
 import org.weldcourse.store.Store;
 
-/** The ledger's records: their keys, and their values of format 1. */
+/** Encodes and decodes quota records in the store: their keys, and their values in format 1. */
 public final class QuotaRecordCodec {
-    /** Keys of the ledger begin with this. */
+    /** The key prefix of all quota records. */
     public static final String PREFIX = "quota/";
 
     private static final String TEAMS = PREFIX + "team/";
     private static final String COHORTS = PREFIX + "cohort/";
 
-    /** The format that this version writes and reads. */
+    /** The record format that this version writes and reads. */
     public static final int FORMAT = 1;
 
     private static final int MAX_PLAIN_NAME_LENGTH = 150;
     private static final Pattern PLAIN_NAME = Pattern.compile("[A-Za-z0-9._-]+");
-    /** Plain names never contain this, so that no two teams share a key. */
+    /** Marks an encoded name. Plain names cannot contain this character, so no two teams share a key. */
     private static final String ENCODED_PREFIX = "~";
 
     private QuotaRecordCodec() {}
 
-    /** The key of a team's record. */
+    /** Returns the key of a team's record. */
     public static String teamKey(String team) {
         return TEAMS + keyPart(team);
     }
 
-    /** The key of a cohort's record. */
+    /** Returns the key of a cohort's record. */
     public static String cohortKey(String cohort) {
         return COHORTS + keyPart(cohort);
     }
 
-    /** Whether the key is that of a cohort's record. */
+    /** Returns whether the key belongs to a cohort's record. */
     public static boolean isCohort(String key) {
         return key.startsWith(COHORTS);
     }
 
-    /** Names that a key can't hold are encoded. */
+    /** Encodes a name that is too long for a key or contains characters that a key does not allow. */
     private static String keyPart(String name) {
         if (name.length() <= MAX_PLAIN_NAME_LENGTH && PLAIN_NAME.matcher(name).matches()) {
             return name;
@@ -52,8 +52,8 @@
         return ENCODED_PREFIX + Base64.getUrlEncoder().withoutPadding().encodeToString(bytes);
     }
 
-    /** The value of a cohort's record. */
-    public static Map<String, Object> value(CohortQuota quota) {
+    /** Returns the stored value of a cohort's record. */
+    public static Map<String, Object> encode(CohortQuota quota) {
         return Json.of(
                 "format",
                 FORMAT,
@@ -67,8 +67,8 @@
                 quota.overQuotaPolicy().externalName());
     }
 
-    /** The value of a team's record. */
-    public static Map<String, Object> value(TeamQuota quota) {
+    /** Returns the stored value of a team's record. */
+    public static Map<String, Object> encode(TeamQuota quota) {
         Map<String, Object> budgets = new TreeMap<>();
         quota.budgets()
                 .forEach((owner, budget) -> budgets.put(owner, Json.of("cpus", budget.cpus(), "gpus", budget.gpus())));
@@ -98,44 +98,45 @@
     /**
      * Reads a cohort's record.
      *
-     * @throws UnreadableQuotaRecordException if anything of it is not understood
+     * @throws UnreadableQuotaRecordException if any field is invalid or the format is unknown
      */
-    public static CohortQuota readCohort(Store.Entry entry) throws UnreadableQuotaRecordException {
-        RecordReader reader = new RecordReader(entry);
-        reader.requireKnownFormat();
-        String name = reader.nameOf("cohort", QuotaRecordCodec::cohortKey);
-        ResourceAmount limit = reader.limit();
-        return new CohortQuota(name, limit, reader.overQuotaPolicy(), entry.modRevision());
+    public static CohortQuota decodeCohort(Store.Entry entry) throws UnreadableQuotaRecordException {
+        RecordDecoder decoder = new RecordDecoder(entry);
+        decoder.requireKnownFormat();
+        String name = decoder.nameOf("cohort", QuotaRecordCodec::cohortKey);
+        ResourceAmount limit = decoder.limit();
+        return new CohortQuota(name, limit, decoder.overQuotaPolicy(), entry.modRevision());
     }
 
     /**
      * Reads a team's record.
      *
-     * @throws UnreadableQuotaRecordException if anything of it is not understood: it must not count as room
+     * @throws UnreadableQuotaRecordException if any field is invalid or the format is unknown; the caller must not
+     *     treat such a record as free quota
      */
-    public static TeamQuota readTeam(Store.Entry entry) throws UnreadableQuotaRecordException {
-        RecordReader reader = new RecordReader(entry);
-        reader.requireKnownFormat();
-        String name = reader.nameOf("team", QuotaRecordCodec::teamKey);
-        String cohort = reader.cohort();
-        ResourceAmount limit = reader.limit();
-        Map<String, ResourceAmount> budgets = reader.budgets();
+    public static TeamQuota decodeTeam(Store.Entry entry) throws UnreadableQuotaRecordException {
+        RecordDecoder decoder = new RecordDecoder(entry);
+        decoder.requireKnownFormat();
+        String name = decoder.nameOf("team", QuotaRecordCodec::teamKey);
+        String cohort = decoder.cohort();
+        ResourceAmount limit = decoder.limit();
+        Map<String, ResourceAmount> budgets = decoder.budgets();
         if (!ResourceAmount.sum(budgets.values()).fitsInto(limit)) {
-            throw reader.unreadable("its budgets exceed its limit");
+            throw decoder.unreadable("its budgets exceed its limit");
         }
         return new TeamQuota(
                 name,
-                reader.amount(entry.value()),
+                decoder.amount(entry.value()),
                 limit,
-                reader.overQuotaPolicy(),
+                decoder.overQuotaPolicy(),
                 cohort,
                 budgets,
                 Json.integer(entry.value(), "budgets_under", 0),
                 entry.modRevision());
     }
 
-    /** One record's value, field by field. */
-    private record RecordReader(Store.Entry entry) {
+    /** Reads the value of one record field by field. */
+    private record RecordDecoder(Store.Entry entry) {
         private long format() {
             return Json.integer(entry.value(), "format", 0);
         }
@@ -150,7 +151,7 @@
             }
         }
 
-        /** The name that the record gives itself, which has to be the one of its key. */
+        /** Returns the name stored in the record, which must match the record's key. */
         String nameOf(String field, UnaryOperator<String> keyOf) throws UnreadableQuotaRecordException {
             String name = Json.text(entry.value(), field);
             if (name == null || !keyOf.apply(name).equals(entry.key())) {
@@ -159,7 +160,7 @@
             return name;
         }
 
-        /** The cohort of a team, or null for none. */
+        /** Returns the cohort of a team, or null if it belongs to none. */
         String cohort() throws UnreadableQuotaRecordException {
             String cohort = Json.text(entry.value(), "cohort");
             if (cohort == null && entry.value().get("cohort") != null) {
@@ -194,7 +195,7 @@
 
         private double number(Map<String, Object> from, String field) throws UnreadableQuotaRecordException {
             double number = Json.decimal(from, field, -1);
-            // Written so that NaN is refused.
+            // The comparison is written so that NaN is refused.
             if (!(number >= 0) || Double.isInfinite(number)) {
                 throw unreadable("field " + field + " is missing or no amount");
             }
--- a/src/main/java/org/weldcourse/quota/ledger/QuotaRecords.java
+++ b/src/main/java/org/weldcourse/quota/ledger/QuotaRecords.java
@@ -9,25 +9,32 @@
 import org.slf4j.LoggerFactory;
 import org.weldcourse.store.Store;
 
-/** The newest of each of the ledger's records that this controller has read, whatever order they come in. */
+/** The newest version of each quota record that this controller has read. Records may arrive in any order. */
 final class QuotaRecords {
     private static final Logger LOG = LoggerFactory.getLogger(QuotaRecords.class);
 
-    /** Readable records by their keys. A team's stays when a newer one is unreadable: it tells the cohort. */
+    /**
+     * Readable records by key. A team's last readable record is kept when a newer version is unreadable, because it
+     * names the team's cohort.
+     */
     private final Map<String, TeamQuota> teams = new HashMap<>();
 
     private final Map<String, CohortQuota> cohorts = new HashMap<>();
-    /** The versions of unreadable records by their keys. */
+    /** The versions of unreadable records by key. */
     private final Map<String, Long> unreadable = new HashMap<>();
 
-    private final Consumer<TeamQuota> newTeamQuota;
+    private final Consumer<TeamQuota> onNewTeamQuota;
 
-    /** {@code newTeamQuota} is told each team's record that was not known before. */
-    QuotaRecords(Consumer<TeamQuota> newTeamQuota) {
-        this.newTeamQuota = newTeamQuota;
+    /**
+     * Creates an empty set of records.
+     *
+     * @param onNewTeamQuota receives each team record that is newer than the known one
+     */
+    QuotaRecords(Consumer<TeamQuota> onNewTeamQuota) {
+        this.onNewTeamQuota = onNewTeamQuota;
     }
 
-    /** The team's quota with its cohort's, or null where one of them is missing or unreadable. */
+    /** Returns the team's record with that of its cohort, or null if either is missing or unreadable. */
     EffectiveQuota quota(String teamName) {
         String key = QuotaRecordCodec.teamKey(teamName);
         TeamQuota team = teams.get(key);
@@ -41,7 +48,7 @@
         return cohort == null ? null : new EffectiveQuota(team, cohort);
     }
 
-    /** The cohort that the team's last readable record named, or null. */
+    /** Returns the cohort in the team's last readable record, or null. */
     String lastKnownCohort(String teamName) {
         TeamQuota team = teams.get(QuotaRecordCodec.teamKey(teamName));
         return team == null ? null : team.cohort();
@@ -64,7 +71,10 @@
         return cohort != null && !cohorts.containsKey(QuotaRecordCodec.cohortKey(cohort));
     }
 
-    /** Records are never deleted by controllers, so what a listing lacks was deleted by an operator, or is newer. */
+    /**
+     * Applies a listing. Controllers never delete quota records, so a known record that is missing from the listing was
+     * either deleted by an operator or is newer than the listing; only the former is removed.
+     */
     void accept(Store.Listing listing) {
         Set<String> present = new HashSet<>();
         for (Store.Entry entry : listing.entries()) {
@@ -91,23 +101,26 @@
     void accept(Store.Entry entry) {
         try {
             if (QuotaRecordCodec.isCohort(entry.key())) {
-                accept(QuotaRecordCodec.readCohort(entry));
+                accept(QuotaRecordCodec.decodeCohort(entry));
             } else {
-                accept(QuotaRecordCodec.readTeam(entry));
+                accept(QuotaRecordCodec.decodeTeam(entry));
             }
-        } catch (UnreadableQuotaRecordException problem) {
-            acceptUnreadable(entry, problem);
+        } catch (UnreadableQuotaRecordException failure) {
+            acceptUnreadable(entry, failure);
         }
     }
 
-    private void acceptUnreadable(Store.Entry entry, UnreadableQuotaRecordException problem) {
+    private void acceptUnreadable(Store.Entry entry, UnreadableQuotaRecordException failure) {
         if (entry.modRevision() < versionOf(entry.key())) {
             return;
         }
         cohorts.remove(entry.key());
         Long knownVersion = unreadable.put(entry.key(), entry.modRevision());
         if (knownVersion == null || knownVersion != entry.modRevision()) {
-            LOG.error("{}: nothing is admitted for its teams: {}", problem.key(), problem.problem());
+            LOG.error(
+                    "{}: unreadable quota record, no tasks are admitted for its teams: {}",
+                    failure.key(),
+                    failure.problem());
         }
     }
 
@@ -124,7 +137,7 @@
         if (isNewer(key, team.version())) {
             unreadable.remove(key);
             teams.put(key, team);
-            newTeamQuota.accept(team);
+            onNewTeamQuota.accept(team);
         }
     }
 
@@ -132,7 +145,7 @@
         return version > versionOf(key) && version > unreadable.getOrDefault(key, 0L);
     }
 
-    /** The version of the readable record that is known under this key, or 0. */
+    /** Returns the version of the readable record under this key, or 0 if there is none. */
     private long versionOf(String key) {
         if (QuotaRecordCodec.isCohort(key)) {
             CohortQuota cohort = cohorts.get(key);
--- a/src/main/java/org/weldcourse/quota/ledger/Reservation.java
+++ b/src/main/java/org/weldcourse/quota/ledger/Reservation.java
@@ -4,29 +4,30 @@
 import org.weldcourse.http.Json;
 
 /**
- * Quota that a controller reserved for a job in the same write that accepted it: who did, under which version of the
- * team's record, and for how many tasks at the same time. With no tasks it only says which controller accepted the job.
+ * Quota that a controller reserves for a job in the write that accepts it: the reserving process, the version of the
+ * team's record, and the number of concurrent tasks. A reservation of zero tasks only records which controller accepted
+ * the job.
  */
 public record Reservation(String owner, long quotaVersion, int tasks) {
-    /** The field of a job's record that holds its reservation; earlier versions ignore it. */
+    /** The field of the job record that holds the reservation; earlier versions of the software ignore it. */
     public static final String FIELD = "reserved";
 
-    /** A job that was accepted without a reservation. */
+    /** Returns a reservation of zero tasks. */
     public static Reservation none(String owner) {
         return new Reservation(owner, 0, 0);
     }
 
-    /** Whether it only says which controller accepted the job. */
+    /** Returns whether this reserves nothing and only records which controller accepted the job. */
     public boolean isNone() {
         return tasks == 0;
     }
 
-    /** The value of the field. */
+    /** Returns the value of the field {@link #FIELD}. */
     public Map<String, Object> toJson() {
         return Json.of("by", owner, "under", quotaVersion, "tasks", tasks);
     }
 
-    /** The reservation in a job's record, or null when it has none that can be read. */
+    /** Returns the reservation in a job record, or null if it is missing or unreadable. */
     public static Reservation fromJobRecord(Map<String, Object> jobRecord) {
         Map<String, Object> value = Json.object(jobRecord.get(FIELD));
         String owner = Json.text(value, "by");
--- a/src/main/java/org/weldcourse/quota/ledger/SettingsComparison.java
+++ b/src/main/java/org/weldcourse/quota/ledger/SettingsComparison.java
@@ -6,31 +6,31 @@
 import org.slf4j.LoggerFactory;
 import org.weldcourse.settings.Settings;
 
-/** Says once for each team that its quota on record is not the one of this node's settings. */
+/** Logs a warning, once per team, when a team's quota in the ledger differs from this node's settings. */
 final class SettingsComparison {
     private static final Logger LOG = LoggerFactory.getLogger(SettingsComparison.class);
 
     private final Settings settings;
-    private final Set<String> saidToDiffer = new HashSet<>();
+    private final Set<String> reportedTeams = new HashSet<>();
 
     SettingsComparison(Settings settings) {
         this.settings = settings;
     }
 
-    void compare(TeamQuota onRecord) {
-        Settings.Team team = settings.team(onRecord.name());
+    void compare(TeamQuota ledgerQuota) {
+        Settings.Team team = settings.team(ledgerQuota.name());
         if (team == null) {
             return;
         }
-        TeamQuota ofSettings = TeamQuota.ofSettings(team);
-        boolean differs = !(ofSettings.limit().equals(onRecord.limit())
-                && ofSettings.guarantee().equals(onRecord.guarantee()));
-        if (differs && saidToDiffer.add(onRecord.name())) {
+        TeamQuota settingsQuota = TeamQuota.ofSettings(team);
+        boolean differs = !(settingsQuota.limit().equals(ledgerQuota.limit())
+                && settingsQuota.guarantee().equals(ledgerQuota.guarantee()));
+        if (differs && reportedTeams.add(ledgerQuota.name())) {
             LOG.warn(
-                    "team {}: the limit on record ({}) holds, not the one of this node's settings ({})",
-                    onRecord.name(),
-                    onRecord.limit(),
-                    ofSettings.limit());
+                    "team {}: the limit in the quota ledger ({}) applies; this node's settings have {}",
+                    ledgerQuota.name(),
+                    ledgerQuota.limit(),
+                    settingsQuota.limit());
         }
     }
 }
--- a/src/main/java/org/weldcourse/quota/ledger/SettingsSubmissionQuota.java
+++ b/src/main/java/org/weldcourse/quota/ledger/SettingsSubmissionQuota.java
@@ -3,7 +3,9 @@
 import org.weldcourse.quota.ResourceAmount;
 import org.weldcourse.settings.Settings;
 
-/** Without quota on record the limits of this node's settings hold, and nothing is reserved. */
+/**
+ * Applies the limits of this node's settings, without reservations. Used when team limits do not come from the ledger.
+ */
 public final class SettingsSubmissionQuota implements SubmissionQuota {
     @Override
     public ResourceAmount limit(Settings.Team team) {
@@ -11,8 +13,8 @@
     }
 
     @Override
-    public void refresh(String team, Runnable then) {
-        then.run();
+    public void refresh(String team, Runnable callback) {
+        callback.run();
     }
 
     @Override
@@ -22,6 +24,6 @@
 
     @Override
     public void release(String team, ResourceAmount perTask, Reservation reservation) {
-        throw new IllegalStateException("nothing is reserved");
+        throw new IllegalStateException("quota from settings has no reservations to release");
     }
 }
--- a/src/main/java/org/weldcourse/quota/ledger/SubmissionQuota.java
+++ b/src/main/java/org/weldcourse/quota/ledger/SubmissionQuota.java
@@ -4,25 +4,30 @@
 import org.weldcourse.quota.ResourceAmount;
 import org.weldcourse.settings.Settings;
 
-/** What accepting a job has to do with its team's quota: which limit holds, and a reservation out of this node's budget. */
+/** The quota checks at job submission: the limit in force, and reservations from this node's budget. */
 public interface SubmissionQuota {
-    /** What the team may use at most, by this node's view. */
+    /** Returns the limit in force for the team according to this node's view. */
     ResourceAmount limit(Settings.Team team);
 
-    /** Reads the team's quota anew and goes on then. */
-    void refresh(String team, Runnable then);
+    /** Reads the team's quota again, then runs the callback. */
+    void refresh(String team, Runnable callback);
 
-    /** A reservation to write with a job, and the versions of the ledger's records on which it has to be written. */
+    /**
+     * A reservation to write with a job, and the versions of the quota records on which that write must be conditional.
+     */
     record Grant(Reservation reservation, Map<String, Long> guards) {
-        /** A job that is accepted without a reservation. */
+        /** Returns a grant for a job that is accepted without a reservation. */
         public static Grant none(String owner) {
             return new Grant(Reservation.none(owner), Map.of());
         }
     }
 
-    /** What to write with a job of so many tasks at the same time, or null where nothing is to be said. */
+    /**
+     * Reserves quota for a job with this number of concurrent tasks. Returns the grant to write with the job, or null
+     * if the job's record needs no reservation field.
+     */
     Grant reserve(String team, ResourceAmount perTask, int tasks);
 
-    /** The write of this reservation was refused for certain, so that its budget can be used again. */
+    /** Returns a reservation to the budget after its write was definitely refused. */
     void release(String team, ResourceAmount perTask, Reservation reservation);
 }
--- a/src/main/java/org/weldcourse/quota/ledger/TeamQuota.java
+++ b/src/main/java/org/weldcourse/quota/ledger/TeamQuota.java
@@ -5,9 +5,13 @@
 import org.weldcourse.settings.Settings;
 
 /**
- * A team's record in the ledger: guarantee and limit, what happens above the limit, the cohort it borrows in (or null), and
- * the budgets out of which controllers may reserve at submission. Budgets were granted under one version of the cohort's
- * record. {@code version} is this record's mod revision in the store, 0 before it is written.
+ * The ledger record of a team: its guarantee and limit, the policy for usage above the limit, and the budgets from
+ * which controllers may reserve at submission.
+ *
+ * @param cohort the cohort in which the team borrows unused guarantees, or null
+ * @param budgets the budgets by controller process
+ * @param budgetsCohortVersion the version of the cohort's record under which the budgets were granted
+ * @param version the mod revision of this record in the store, 0 before it is written
  */
 public record TeamQuota(
         String name,
@@ -19,7 +23,7 @@
         long budgetsCohortVersion,
         long version) {
 
-    /** A record without budgets. */
+    /** Creates a record without budgets. */
     public TeamQuota(
             String name,
             ResourceAmount guarantee,
@@ -30,7 +34,7 @@
         this(name, guarantee, limit, overQuotaPolicy, cohort, Map.of(), 0, version);
     }
 
-    /** The record with which a team begins that has none yet: what the settings say, in no cohort. */
+    /** Returns the initial record of a team: the quota from the settings, without a cohort. */
     public static TeamQuota ofSettings(Settings.Team team) {
         return new TeamQuota(
                 team.name(),
@@ -41,18 +45,18 @@
                 0);
     }
 
-    /** The same record with budgets that are granted under this version of the cohort's. */
+    /** Returns the same record with budgets that were granted under this version of the cohort's record. */
     public TeamQuota withBudgets(Map<String, ResourceAmount> newBudgets, long cohortVersion) {
         return new TeamQuota(name, guarantee, limit, overQuotaPolicy, cohort, newBudgets, cohortVersion, version);
     }
 
-    /** The same record as it stands under another version. */
+    /** Returns the same record with another version. */
     public TeamQuota withVersion(long newVersion) {
         return new TeamQuota(
                 name, guarantee, limit, overQuotaPolicy, cohort, budgets, budgetsCohortVersion, newVersion);
     }
 
-    /** The budget of a controller process, or nothing. */
+    /** Returns the budget of a controller process, or zero. */
     public ResourceAmount budget(String owner) {
         return budgets.getOrDefault(owner, ResourceAmount.ZERO);
     }
--- a/src/main/java/org/weldcourse/quota/ledger/TeamQuotaEdit.java
+++ b/src/main/java/org/weldcourse/quota/ledger/TeamQuotaEdit.java
@@ -7,20 +7,20 @@
 import org.weldcourse.settings.Settings;
 import org.weldcourse.store.Transaction;
 
-/** A change of a team's record; a team without one begins with its settings. */
+/** A change to a team's record. A team without a record starts from its quota in the settings. */
 record TeamQuotaEdit(Settings.Team settings, QuotaChange change) implements QuotaEdit<TeamQuota> {
-    private TeamQuota onRecord(LedgerContents contents) {
+    private TeamQuota currentRecord(LedgerContents contents) {
         return contents.teams().getOrDefault(settings.name(), TeamQuota.ofSettings(settings));
     }
 
     @Override
-    public TeamQuota terms(LedgerContents contents) {
-        return onRecord(contents).withBudgets(Map.of(), 0).withVersion(0);
+    public TeamQuota spec(LedgerContents contents) {
+        return currentRecord(contents).withBudgets(Map.of(), 0).withVersion(0);
     }
 
     @Override
     public TeamQuota changed(LedgerContents contents) {
-        return change.applyTo(onRecord(contents));
+        return change.applyTo(currentRecord(contents));
     }
 
     @Override
@@ -44,7 +44,7 @@
         }
         CohortQuota cohort = contents.cohorts().get(changed.cohort());
         if (cohort == null) {
-            throw new QuotaLedgerException(Reason.UNKNOWN_COHORT, "cohort: " + changed.cohort() + " is not on record");
+            throw new QuotaLedgerException(Reason.UNKNOWN_COHORT, "cohort: " + changed.cohort() + " does not exist");
         }
         contents.requireCovered(cohort, changed);
     }
@@ -52,29 +52,32 @@
     private static QuotaLedgerException guaranteeOverLimit(String resource, double guarantee, double limit) {
         return new QuotaLedgerException(
                 Reason.GUARANTEE_OVER_LIMIT,
-                resource + ": the guarantee of " + guarantee + " is over the limit of " + limit);
+                resource + ": the guarantee of " + guarantee + " exceeds the limit of " + limit);
     }
 
-    /** Writes the cohort's record too, unchanged, so that of two changes that are sound alone only one succeeds. */
+    /**
+     * Also rewrites the cohort's record unchanged, so that of two concurrent changes that are each valid but not valid
+     * together, only one succeeds.
+     */
     @Override
     public Transaction transaction(LedgerContents contents) {
         TeamQuota changed = changed(contents);
         String key = QuotaRecordCodec.teamKey(changed.name());
         Transaction txn =
-                new Transaction().ifModRevision(key, changed.version()).put(key, QuotaRecordCodec.value(changed));
+                new Transaction().ifModRevision(key, changed.version()).put(key, QuotaRecordCodec.encode(changed));
         if (changed.cohort() != null) {
             CohortQuota cohort = contents.cohorts().get(changed.cohort());
             String cohortKey = QuotaRecordCodec.cohortKey(cohort.name());
-            txn.ifModRevision(cohortKey, cohort.version()).put(cohortKey, QuotaRecordCodec.value(cohort));
+            txn.ifModRevision(cohortKey, cohort.version()).put(cohortKey, QuotaRecordCodec.encode(cohort));
         }
         return txn;
     }
 
     @Override
-    public String describe(TeamQuota terms) {
-        return "TeamLimit[team=" + terms.name() + ", guarantee=" + terms.guarantee() + ", limit=" + terms.limit()
-                + ", overLimit=" + terms.overQuotaPolicy().externalName().toUpperCase(Locale.ROOT) + ", cohort="
-                + terms.cohort() + ", budgets=" + terms.budgets() + ", budgetsCohortVersion="
-                + terms.budgetsCohortVersion() + ", version=" + terms.version() + "]";
+    public String describe(TeamQuota spec) {
+        return "TeamLimit[team=" + spec.name() + ", guarantee=" + spec.guarantee() + ", limit=" + spec.limit()
+                + ", overLimit=" + spec.overQuotaPolicy().externalName().toUpperCase(Locale.ROOT) + ", cohort="
+                + spec.cohort() + ", budgets=" + spec.budgets() + ", budgetsCohortVersion="
+                + spec.budgetsCohortVersion() + ", version=" + spec.version() + "]";
     }
 }
--- a/src/main/java/org/weldcourse/quota/ledger/UnreadableQuotaRecordException.java
+++ b/src/main/java/org/weldcourse/quota/ledger/UnreadableQuotaRecordException.java
@@ -1,6 +1,6 @@
 package org.weldcourse.quota.ledger;
 
-/** A record of the ledger that this version can't read in full, so that nothing may be admitted on it. */
+/** Thrown for a quota record that this version cannot read in full. Nothing may be admitted based on it. */
 public final class UnreadableQuotaRecordException extends Exception {
     private final String key;
     private final long format;
@@ -13,17 +13,20 @@
         this.problem = problem;
     }
 
-    /** The key of the record. */
+    /** Returns the key of the record. */
     public String key() {
         return key;
     }
 
-    /** The format that the record states, 0 for none; this version reads {@link QuotaRecordCodec#FORMAT}. */
+    /**
+     * Returns the format stated in the record, or 0 if there is none. This version reads {@link
+     * QuotaRecordCodec#FORMAT}.
+     */
     public long format() {
         return format;
     }
 
-    /** What is wrong with the record's value, without its key. */
+    /** Returns what is wrong with the value, without the key. */
     public String problem() {
         return problem;
     }
--- a/src/main/java/org/weldcourse/quota/package-info.java
+++ b/src/main/java/org/weldcourse/quota/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The quota of teams: amounts of CPUs and GPUs, and the invariant that everything else here keeps. Quota on record is in
- * {@link org.weldcourse.quota.ledger}, which every controller uses; what the leader does to enforce it is in
- * {@link org.weldcourse.quota.enforcement}.
+ * Team quota: resource amounts and the invariant that the whole quota implementation maintains. {@link
+ * org.weldcourse.quota.ledger} contains the stored quota records that every controller uses; {@link
+ * org.weldcourse.quota.enforcement} contains the leader's enforcement.
  */
 package org.weldcourse.quota;
--- a/src/test/java/org/weldcourse/quota/QuotaChangesTest.java
+++ b/src/test/java/org/weldcourse/quota/QuotaChangesTest.java
@@ -211,7 +211,7 @@
         List<QuotaEditor.Result<TeamQuota>> refused =
                 results.stream().filter(result -> !result.isChanged()).toList();
         assertEquals(1, refused.size(), results.toString());
-        assertEquals(Reason.CHANGED_MEANWHILE, refused.get(0).failure().reason());
+        assertEquals(Reason.CONCURRENT_CHANGE, refused.get(0).failure().reason());
         assertEquals(
                 "the record was changed meanwhile: TeamLimit[team=core, guarantee=4.0 CPUs, limit=6.0 CPUs, "
                         + "overLimit=DRAIN, cohort=null, budgets={}, budgetsCohortVersion=0, version=0]",
--- a/src/test/java/org/weldcourse/quota/QuotaHistoryChecker.java
+++ b/src/test/java/org/weldcourse/quota/QuotaHistoryChecker.java
@@ -94,11 +94,11 @@
         Store.Entry entry = new Store.Entry(change.key(), change.value(), change.version(), 0);
         try {
             if (QuotaRecordCodec.isCohort(change.key())) {
-                CohortQuota cohort = QuotaRecordCodec.readCohort(entry);
+                CohortQuota cohort = QuotaRecordCodec.decodeCohort(entry);
                 cohorts.computeIfAbsent(cohort.name(), name -> new TreeMap<>()).put(change.version(), cohort.limit());
                 cohortVersions.put(cohort.name(), change.version());
             } else {
-                teamWritten(change, QuotaRecordCodec.readTeam(entry));
+                teamWritten(change, QuotaRecordCodec.decodeTeam(entry));
             }
         } catch (UnreadableQuotaRecordException unreadable) {
             throw new AssertionError("a record that nobody can read: " + change, unreadable);
@@ -211,9 +211,9 @@
                 counted = counted.plus(job.perTask.times(Math.max(reserved(job), running(job))));
             }
         }
-        boolean budgetsHold = limit.record.cohort() == null
+        boolean areBudgetsValid = limit.record.cohort() == null
                 || limit.record.budgetsCohortVersion() == cohortVersions.get(limit.record.cohort());
-        if (budgetsHold) {
+        if (areBudgetsValid) {
             for (Map.Entry<String, ResourceAmount> budget :
                     limit.record.budgets().entrySet()) {
                 counted = counted.plus(
--- a/src/test/java/org/weldcourse/quota/TeamLimitsWorld.java
+++ b/src/test/java/org/weldcourse/quota/TeamLimitsWorld.java
@@ -100,7 +100,7 @@
     TeamQuota record(String team) {
         try {
             String key = QuotaRecordCodec.teamKey(team);
-            return QuotaRecordCodec.readTeam(new org.weldcourse.store.Store.Entry(key, world.store.value(key), 1, 0));
+            return QuotaRecordCodec.decodeTeam(new org.weldcourse.store.Store.Entry(key, world.store.value(key), 1, 0));
         } catch (UnreadableQuotaRecordException unreadable) {
             throw new AssertionError(unreadable);
         }
--- a/src/test/java/org/weldcourse/quota/enforcement/BudgetDivisionTest.java
+++ b/src/test/java/org/weldcourse/quota/enforcement/BudgetDivisionTest.java
@@ -16,8 +16,8 @@
 class BudgetDivisionTest {
     private final BudgetDivision solver = new IntegerProgramDivision();
 
-    private static Request request(String owner, double cpus, double gpus, int wanted) {
-        return new Request(owner, ResourceAmount.of(cpus, gpus), wanted);
+    private static Request request(String owner, double cpus, double gpus, int maxReservations) {
+        return new Request(owner, ResourceAmount.of(cpus, gpus), maxReservations);
     }
 
     @Test
@@ -51,8 +51,8 @@
                 ResourceAmount taken = ResourceAmount.ZERO;
                 for (Request request : requests) {
                     int count = granted.getOrDefault(request.owner(), 0);
-                    assertTrue(count >= 0 && count <= request.wanted());
-                    taken = taken.plus(request.each().times(count));
+                    assertTrue(count >= 0 && count <= request.maxReservations());
+                    taken = taken.plus(request.amount().times(count));
                 }
                 assertTrue(taken.fitsInto(room), taken + " of " + room);
             }
--- a/src/test/java/org/weldcourse/quota/enforcement/QuotaSnapshotScaleTest.java
+++ b/src/test/java/org/weldcourse/quota/enforcement/QuotaSnapshotScaleTest.java
@@ -43,7 +43,7 @@
 
     @Test
     void aRecordFitsTheSmallestValuesThatAStateServiceAllows() {
-        byte[] value = Json.bytes(QuotaRecordCodec.value(team(0)));
+        byte[] value = Json.bytes(QuotaRecordCodec.encode(team(0)));
         assertTrue(value.length < LEAST_VALUE_BYTES, value.length + " bytes");
     }
 
@@ -53,9 +53,9 @@
             cluster.getOrAddMachine("m-" + i, 0);
         }
         for (int i = 0; i < TEAMS; i++) {
-            reservations.quotaSeen(new EffectiveQuota(team(i), null));
+            reservations.updateQuota(new EffectiveQuota(team(i), null));
         }
-        reservations.readUpTo(1);
+        reservations.openJobsReadUpTo(1);
         List<Job> jobs = new ArrayList<>();
         for (int i = 0; i < JOBS; i++) {
             String id = String.format("req-%06d", i);
@@ -65,12 +65,12 @@
             jobs.add(job);
             boolean reserved = i % 10 == 0;
             Reservation reservation = new Reservation("controller-0", 1, reserved ? 1 : 0);
-            reservations.jobSeen(id, job.spec().team(), ResourceAmount.of(1, 0), reservation);
+            reservations.addJob(id, job.spec().team(), ResourceAmount.of(1, 0), reservation);
         }
         int[] looked = new int[1];
         int covered = 0;
         for (int i = 0; i < TEAMS; i++) {
-            ReservationTracker.Honoured honoured = reservations.honour(
+            ReservationTracker.AppliedReservations honoured = reservations.applyReservations(
                     "team-" + i, new QuotaHeadroom(ResourceAmount.limit(500, 0), ResourceAmount.ZERO), null, job -> {
                         looked[0]++;
                         return 1;
@@ -79,7 +79,7 @@
         }
         assertEquals(JOBS / 10, looked[0]);
         assertEquals(JOBS / 10, covered);
-        jobs.forEach(job -> reservations.jobEnded(job.spec().id()));
+        jobs.forEach(job -> reservations.removeJob(job.spec().id()));
         assertEquals(0, reservations.reservedTasks("req-000000"));
     }
 }
--- a/src/test/java/org/weldcourse/quota/ledger/QuotaRecordCodecTest.java
+++ b/src/test/java/org/weldcourse/quota/ledger/QuotaRecordCodecTest.java
@@ -49,13 +49,13 @@
     }
 
     private static TeamQuota read(Map<String, Object> value) throws UnreadableQuotaRecordException {
-        return QuotaRecordCodec.readTeam(new Store.Entry(KEY, value, 7, 0));
+        return QuotaRecordCodec.decodeTeam(new Store.Entry(KEY, value, 7, 0));
     }
 
     @Test
     void aTeamsRecordIsReadAndWrittenAsItStands() throws Exception {
         assertEquals(QUOTA, read(stored()));
-        assertEquals(Json.parse(Json.bytes(stored())), Json.parse(Json.bytes(QuotaRecordCodec.value(QUOTA))));
+        assertEquals(Json.parse(Json.bytes(stored())), Json.parse(Json.bytes(QuotaRecordCodec.encode(QUOTA))));
         assertEquals(KEY, QuotaRecordCodec.teamKey("core"));
     }
 
