--- a/src/main/java/org/weldcourse/quota/enforcement/BudgetPlanner.java
+++ b/src/main/java/org/weldcourse/quota/enforcement/BudgetPlanner.java
@@ -58,10 +58,10 @@
      * succeeds.
      */
     Optional<Map<String, ResourceAmount>> plan(TeamState state) {
-        ResourceAmount held = ResourceAmount.sum(state.unspent.values());
+        ResourceAmount totalUnspent = ResourceAmount.sum(state.unspent.values());
         if (state.hasWaitingJobs) {
             // A waiting job has precedence over quota that is held for jobs still to come.
-            return held.isZero() ? Optional.empty() : Optional.of(Map.of());
+            return totalUnspent.isZero() ? Optional.empty() : Optional.of(Map.of());
         }
         List<BudgetDivision.Request> requests = requests(state.demand);
         List<BudgetDivision.Request> unserved =
@@ -71,11 +71,11 @@
         }
         ResourceAmount maxBudget = state.headroom().dividedBy(HEADROOM_DIVISOR);
         Map<String, Integer> granted =
-                division.divide(maxBudget.min(state.headroom().minus(held)), requests);
+                division.divide(maxBudget.min(state.headroom().minus(totalUnspent)), requests);
         if (servesAny(unserved, granted)) {
             return Optional.of(amounts(requests, granted));
         }
-        boolean withdrawalHelps = !held.isZero() && servesAny(unserved, division.divide(maxBudget, requests));
+        boolean withdrawalHelps = !totalUnspent.isZero() && servesAny(unserved, division.divide(maxBudget, requests));
         return withdrawalHelps ? Optional.of(Map.of()) : Optional.empty();
     }
 
--- a/src/test/java/org/weldcourse/quota/QuotaChangesTest.java
+++ b/src/test/java/org/weldcourse/quota/QuotaChangesTest.java
@@ -22,31 +22,32 @@
 import org.weldcourse.quota.ledger.TeamQuota;
 import org.weldcourse.simulation.FakeNetwork;
 
-/** Limits that change while jobs are served, and changes that are refused. */
-class QuotaChangesTest extends TeamLimitsWorld {
-    private static final Set<Reason> WRONG_CHANGES =
+/** Tests limit changes while jobs are served, and changes that are refused. */
+class QuotaChangesTest extends TeamLimitsTestBase {
+    private static final Set<Reason> INVALID_CHANGE_REASONS =
             EnumSet.of(Reason.INVALID_AMOUNT, Reason.GUARANTEE_OVER_LIMIT, Reason.UNKNOWN_COHORT);
 
-    /** The limit is lowered before each single commit of a scripted day. */
+    /** Replays a fixed scenario and lowers the limit before a different commit each time. */
     @ParameterizedTest
     @EnumSource(OverQuotaPolicy.class)
-    void aLimitIsLoweredBetweenAnyTwoWrites(OverQuotaPolicy over) {
-        int commits = lowerBefore(-1, over);
+    void limitIsLoweredBeforeEachCommit(OverQuotaPolicy policy) {
+        int commits = lowerLimitBefore(-1, policy);
         assertTrue(commits > 10, commits + " commits");
-        for (int at = 0; at < commits; at++) {
-            lowerBefore(at, over);
+        for (int commitIndex = 0; commitIndex < commits; commitIndex++) {
+            lowerLimitBefore(commitIndex, policy);
         }
     }
 
-    private int lowerBefore(int at, OverQuotaPolicy over) {
-        TeamLimitsWorld day = new TeamLimitsWorld();
+    private int lowerLimitBefore(int commitIndex, OverQuotaPolicy policy) {
+        TeamLimitsTestBase scenario = new TeamLimitsTestBase();
         int[] commits = new int[1];
-        int[] lowered = new int[1];
-        day.world.network.injectFaults((from, call) -> {
-            if (call.path().equals("/commit") && !from.equals("operator") && commits[0]++ == at) {
-                lowered[0]++;
-                QuotaChange change = new QuotaChange(1.0, 2.0, null, null, over, null);
-                day.operator.set(team(CORE), change, result -> lowered[0]++);
+        // Counts the start and the completion of the operator's change.
+        int[] operatorCalls = new int[1];
+        scenario.cluster.network.injectFaults((from, call) -> {
+            if (call.path().equals("/commit") && !from.equals("operator") && commits[0]++ == commitIndex) {
+                operatorCalls[0]++;
+                QuotaChange change = new QuotaChange(1.0, 2.0, null, null, policy, null);
+                scenario.operator.set(team(CORE), change, result -> operatorCalls[0]++);
                 return 20_000;
             }
             return FakeNetwork.NORMAL;
@@ -54,64 +55,65 @@
         for (int i = 0; i < 3; i++) {
             for (String node : List.of("n0", "n1", "n2")) {
                 String shape = i == 1 ? "array" : "ensemble";
-                day.world.submitSoon(node, day.job(CORE, 1_500_000, "shape", shape, "beads", 2L), answer -> {});
+                scenario.cluster.submitSoon(
+                        node, scenario.job(CORE, 1_500_000, "shape", shape, "beads", 2L), answer -> {});
             }
-            day.world.clock.passSeconds(i == 0 ? 9 : 3);
+            scenario.cluster.clock.passSeconds(i == 0 ? 9 : 3);
         }
-        for (int i = 0; i < 120 && !day.world.store.keys("open/").isEmpty(); i++) {
-            day.world.clock.passSeconds(1);
+        for (int i = 0; i < 120 && !scenario.cluster.store.keys("open/").isEmpty(); i++) {
+            scenario.cluster.clock.passSeconds(1);
         }
-        assertEquals(List.of(), day.world.store.keys("open/"), "lowered before commit " + at);
-        assertTrue(at < 0 || lowered[0] == 2, "the limit was lowered");
+        assertEquals(List.of(), scenario.cluster.store.keys("open/"), "limit lowered before commit " + commitIndex);
+        assertTrue(commitIndex < 0 || operatorCalls[0] == 2, "the limit was lowered");
         return commits[0];
     }
 
     @Test
-    void whatRunsOverALoweredLimitIsDisplacedOrDrainsAsTheOperatorChose() {
-        submitted("n0", job(CORE, FOREVER, "shape", "service", "beads", 10L, "expected_s", 0.0));
-        world.clock.passSeconds(30);
-        assertEquals(10, running(CORE));
-        set(CORE, limit(6));
-        world.clock.passSeconds(20);
-        assertEquals(10, running(CORE), "drains, and a replica has no end");
+    void tasksOverALoweredLimitArePreemptedOrDrainedByPolicy() {
+        submitAccepted("n0", job(CORE, FOREVER, "shape", "service", "beads", 10L, "expected_s", 0.0));
+        cluster.clock.passSeconds(30);
+        assertEquals(10, runningTasks(CORE));
+        set(CORE, limitChange(6));
+        cluster.clock.passSeconds(20);
+        assertEquals(10, runningTasks(CORE), "the policy is to drain, and replicas never end");
         set(CORE, new QuotaChange(null, null, null, null, OverQuotaPolicy.PREEMPT, null));
-        world.clock.passSeconds(20);
-        assertEquals(6, running(CORE));
-        set(CORE, limit(3));
-        world.clock.passSeconds(20);
-        assertEquals(3, running(CORE), "lowered below the guarantee as well");
-        set(CORE, limit(8));
-        world.killNode(world.leader());
-        world.clock.passSeconds(40);
-        assertEquals(8, running(CORE), "raised while the leader changed");
+        cluster.clock.passSeconds(20);
+        assertEquals(6, runningTasks(CORE));
+        set(CORE, limitChange(3));
+        cluster.clock.passSeconds(20);
+        assertEquals(3, runningTasks(CORE), "a limit below the guarantee is enforced too");
+        set(CORE, limitChange(8));
+        cluster.killNode(cluster.leader());
+        cluster.clock.passSeconds(40);
+        assertEquals(8, runningTasks(CORE), "limit raised during a leader change");
     }
 
     @Test
-    void theCohortsSumShrinksUnderRunningWork() {
-        cohort(16);
-        service(CORE, 8);
-        service("edge", 8);
-        world.clock.passSeconds(40);
-        assertEquals(16, running(CORE) + running("edge"));
+    void cohortLimitIsLoweredBelowRunningTasks() {
+        putTeamsInCohort(16);
+        submitService(CORE, 8);
+        submitService("edge", 8);
+        cluster.clock.passSeconds(40);
+        assertEquals(16, runningTasks(CORE) + runningTasks("edge"));
         QuotaChange change = new QuotaChange(null, 12.0, null, null, OverQuotaPolicy.PREEMPT, null);
-        assertTrue(edit(then -> operator.setCohort("all", change, then)).isChanged());
-        world.clock.passSeconds(20);
-        assertEquals(12, running(CORE) + running("edge"));
-        assertTrue(running(CORE) >= 4 && running("edge") >= 4, "guarantees stay");
+        assertTrue(edit(callback -> operator.setCohort("all", change, callback)).isChanged());
+        cluster.clock.passSeconds(20);
+        assertEquals(12, runningTasks(CORE) + runningTasks("edge"));
+        assertTrue(runningTasks(CORE) >= 4 && runningTasks("edge") >= 4, "guarantees are kept");
     }
 
     @Test
-    void aRecordThatCannotBeReadStopsItsTeamAlone() {
-        for (Object garbage : List.of(Json.of("format", 2L, "team", CORE), Json.of("cpus", "many"))) {
-            world.store.plant(QuotaRecordCodec.teamKey(CORE), garbage);
-            world.clock.passSeconds(2);
-            Map<String, Object> stopped = submitted("n0", job(CORE, 1_000_000));
-            Map<String, Object> other = submitted("n1", job("edge", 1_000_000));
-            assertTrue(world.reaches("n2", id(other), "done", 60));
-            world.clock.passSeconds(10);
-            assertEquals("queued", world.poll("n2", id(stopped)).state());
-            assertEquals("cancelled", world.cancel("n2", id(stopped)).state());
-            QuotaEditor.Result<?> result = edit(then -> operator.set(team(CORE), limit(3), then));
+    void unreadableRecordStopsOnlyItsTeam() {
+        for (Object unreadable : List.of(Json.of("format", 2L, "team", CORE), Json.of("cpus", "many"))) {
+            cluster.store.plant(QuotaRecordCodec.teamKey(CORE), unreadable);
+            cluster.clock.passSeconds(2);
+            Map<String, Object> stopped = submitAccepted("n0", job(CORE, 1_000_000));
+            Map<String, Object> other = submitAccepted("n1", job("edge", 1_000_000));
+            assertTrue(cluster.reaches("n2", id(other), "done", 60));
+            cluster.clock.passSeconds(10);
+            assertEquals("queued", cluster.poll("n2", id(stopped)).state());
+            assertEquals("cancelled", cluster.cancel("n2", id(stopped)).state());
+            QuotaEditor.Result<?> result = edit(callback -> operator.set(team(CORE), limitChange(3), callback));
             assertFalse(result.isChanged());
             assertTrue(result.problem().contains(QuotaRecordCodec.teamKey(CORE)), result.problem());
             assertEquals(Reason.UNREADABLE_RECORD, result.failure().reason());
@@ -119,95 +121,95 @@
     }
 
     @Test
-    void aRaisedLimitCountsForAJobThatWasTooLargeAndALoweredOneQueuesWhatIsKnown() {
+    void raisedLimitAcceptsALargerJobAndLoweredLimitQueuesAnAcceptedJob() {
         Map<String, Object> large = job(CORE, 1_000_000, "shape", "ensemble", "beads", 12L);
-        set(CORE, limit(8));
-        world.clock.passSeconds(1);
-        assertEquals(422, world.submit("n1", large).status());
-        set(CORE, limit(14));
-        assertEquals(201, world.submit("n1", large).status());
-        set(CORE, limit(2));
-        assertEquals(200, world.submit("n2", large).status(), "known, whatever the limit is now");
-        world.clock.passSeconds(30);
-        set(CORE, limit(16));
-        assertTrue(world.reaches("n3", id(large), "done", 100));
+        set(CORE, limitChange(8));
+        cluster.clock.passSeconds(1);
+        assertEquals(422, cluster.submit("n1", large).status());
+        set(CORE, limitChange(14));
+        assertEquals(201, cluster.submit("n1", large).status());
+        set(CORE, limitChange(2));
+        assertEquals(200, cluster.submit("n2", large).status(), "an accepted job stays accepted under a lower limit");
+        cluster.clock.passSeconds(30);
+        set(CORE, limitChange(16));
+        assertTrue(cluster.reaches("n3", id(large), "done", 100));
     }
 
-    /** Room that a team takes is not free because nobody can read what the team is allowed. */
+    /** An unreadable team record must not make the quota that the team uses appear free to its cohort. */
     @Test
-    void whatATeamRunsCountsForItsCohortAlsoWhileItsRecordCannotBeRead() {
-        cohort(12);
-        service(CORE, 8);
-        world.clock.passSeconds(40);
-        assertEquals(8, running(CORE));
-        world.store.plant(QuotaRecordCodec.teamKey(CORE), Json.of("format", 2L, "team", CORE));
-        world.clock.passSeconds(2);
-        service("edge", 8);
-        world.clock.passSeconds(40);
-        assertEquals(4, running("edge"));
-        world.killNode(world.leader());
-        world.clock.passSeconds(60);
-        assertEquals(8, running(CORE));
-        assertEquals(4, running("edge"), "also under a leader that never read the record");
+    void usageCountsAgainstTheCohortWhileTheTeamRecordIsUnreadable() {
+        putTeamsInCohort(12);
+        submitService(CORE, 8);
+        cluster.clock.passSeconds(40);
+        assertEquals(8, runningTasks(CORE));
+        cluster.store.plant(QuotaRecordCodec.teamKey(CORE), Json.of("format", 2L, "team", CORE));
+        cluster.clock.passSeconds(2);
+        submitService("edge", 8);
+        cluster.clock.passSeconds(40);
+        assertEquals(4, runningTasks("edge"));
+        cluster.killNode(cluster.leader());
+        cluster.clock.passSeconds(60);
+        assertEquals(8, runningTasks(CORE));
+        assertEquals(4, runningTasks("edge"), "also under a leader that never read a valid record");
     }
 
     @Test
-    void badChangesSayWhyAndWriteNothing() {
-        Map<QuotaChange, String> wrong = new HashMap<>();
-        wrong.put(new QuotaChange(-1.0, null, null, null, null, null), "cpus:");
-        wrong.put(new QuotaChange(null, Double.NaN, null, null, null, null), "cpus-max:");
-        wrong.put(new QuotaChange(9.0, 8.0, null, null, null, null), "guarantee");
-        wrong.put(new QuotaChange(null, null, null, null, null, "unheard-of"), "cohort:");
-        Map<String, Object> before = world.store.value(QuotaRecordCodec.teamKey(CORE));
-        wrong.forEach((change, word) -> {
-            QuotaEditor.Result<?> result = edit(then -> operator.set(team(CORE), change, then));
+    void invalidChangesReportTheReasonAndWriteNothing() {
+        Map<QuotaChange, String> invalidChanges = new HashMap<>();
+        invalidChanges.put(new QuotaChange(-1.0, null, null, null, null, null), "cpus:");
+        invalidChanges.put(new QuotaChange(null, Double.NaN, null, null, null, null), "cpus-max:");
+        invalidChanges.put(new QuotaChange(9.0, 8.0, null, null, null, null), "guarantee");
+        invalidChanges.put(new QuotaChange(null, null, null, null, null, "unheard-of"), "cohort:");
+        Map<String, Object> before = cluster.store.value(QuotaRecordCodec.teamKey(CORE));
+        invalidChanges.forEach((change, expectedText) -> {
+            QuotaEditor.Result<?> result = edit(callback -> operator.set(team(CORE), change, callback));
             assertFalse(result.isChanged());
-            assertTrue(result.problem().contains(word), result.problem());
-            assertTrue(WRONG_CHANGES.contains(result.failure().reason()), result.problem());
+            assertTrue(result.problem().contains(expectedText), result.problem());
+            assertTrue(INVALID_CHANGE_REASONS.contains(result.failure().reason()), result.problem());
         });
-        cohort(12);
+        putTeamsInCohort(12);
         QuotaChange small = new QuotaChange(null, 11.0, null, null, null, null);
-        QuotaEditor.Result<?> tooSmall = edit(then -> operator.setCohort("all", small, then));
+        QuotaEditor.Result<?> tooSmall = edit(callback -> operator.setCohort("all", small, callback));
         assertTrue(tooSmall.problem().contains("can't cover guarantees"), tooSmall.problem());
         assertEquals(Reason.COHORT_TOO_SMALL, tooSmall.failure().reason());
         assertEquals(
                 before.get("cpus_max"),
-                world.store.value(QuotaRecordCodec.teamKey(CORE)).get("cpus_max"));
-        world.store.down(true);
-        QuotaEditor.Result<?> unreachable = edit(then -> operator.set(team(CORE), limit(3), then));
+                cluster.store.value(QuotaRecordCodec.teamKey(CORE)).get("cpus_max"));
+        cluster.store.down(true);
+        QuotaEditor.Result<?> unreachable = edit(callback -> operator.set(team(CORE), limitChange(3), callback));
         assertEquals("the state service does not answer", unreachable.problem());
         assertEquals(Reason.STORE_UNAVAILABLE, unreachable.failure().reason());
     }
 
     @Test
-    void twoOperatorsCannotTogetherPromiseMoreThanACohortHas() {
-        cohort(12);
+    void concurrentChangesCannotExceedTheCohortLimit() {
+        putTeamsInCohort(12);
         List<QuotaEditor.Result<TeamQuota>> results = new ArrayList<>();
         for (String team : List.of(CORE, "edge", "late")) {
             QuotaChange change = new QuotaChange(6.0, null, null, null, null, null);
-            new QuotaEditor(world.storeOf("operator-" + team)).set(team(team), change, results::add);
+            new QuotaEditor(cluster.storeOf("operator-" + team)).set(team(team), change, results::add);
         }
-        world.clock.passSeconds(5);
+        cluster.clock.passSeconds(5);
         assertEquals(3, results.size());
         assertEquals(0, results.stream().filter(QuotaEditor.Result::isChanged).count());
         set("late", new QuotaChange(0.0, null, null, null, null, null));
         results.clear();
         for (String team : List.of(CORE, "edge")) {
             QuotaChange change = new QuotaChange(8.0, null, null, null, null, null);
-            new QuotaEditor(world.storeOf("operator-" + team)).set(team(team), change, results::add);
+            new QuotaEditor(cluster.storeOf("operator-" + team)).set(team(team), change, results::add);
         }
-        world.clock.passSeconds(5);
+        cluster.clock.passSeconds(5);
         assertEquals(1, results.stream().filter(QuotaEditor.Result::isChanged).count(), results.toString());
     }
 
-    /** The line that tells an operator of another one's change names the terms as it always did. */
+    /** The message that reports another operator's change must keep its format, because operators' tools parse it. */
     @Test
-    void whoComesSecondIsToldWhatTheFirstOneSet() {
+    void concurrentChangeReportsTheStoredSpec() {
         List<QuotaEditor.Result<TeamQuota>> results = new ArrayList<>();
         for (double cpus : new double[] {6, 7}) {
-            new QuotaEditor(world.storeOf("operator-" + cpus)).set(team(CORE), limit(cpus), results::add);
+            new QuotaEditor(cluster.storeOf("operator-" + cpus)).set(team(CORE), limitChange(cpus), results::add);
         }
-        world.clock.passSeconds(5);
+        cluster.clock.passSeconds(5);
         List<QuotaEditor.Result<TeamQuota>> refused =
                 results.stream().filter(result -> !result.isChanged()).toList();
         assertEquals(1, refused.size(), results.toString());
--- a/src/test/java/org/weldcourse/quota/QuotaHistoryChecker.java
+++ b/src/test/java/org/weldcourse/quota/QuotaHistoryChecker.java
@@ -21,20 +21,21 @@
 import org.weldcourse.store.Store;
 
 /**
- * Checks the history of writes and of tasks on workers against the teams' limits, from outside the controllers. Each write
- * that adds a reservation or a budget has to leave all that counts within the limit in force. Each task that starts has to
- * find its team within a limit that was in force since the task was admitted.
+ * Checks the history of store writes and of tasks on workers against the teams' limits, independently of the
+ * controllers. After each write that adds a reservation or a budget, all counted usage must fit the limit in force.
+ * When a task starts, the running tasks of its team must fit a limit that was in force at some time since the task was
+ * admitted.
  */
 public final class QuotaHistoryChecker {
-    private final ClusterInvariants rules;
-    private final Map<String, Limit> limits = new HashMap<>();
-    private final Map<String, TreeMap<Long, ResourceAmount>> cohorts = new HashMap<>();
+    private final ClusterInvariants invariants;
+    private final Map<String, LimitHistory> limitsByTeam = new HashMap<>();
+    private final Map<String, TreeMap<Long, ResourceAmount>> cohortLimits = new HashMap<>();
     private final Map<String, Long> cohortVersions = new HashMap<>();
     private final Map<String, OpenJob> openJobs = new HashMap<>();
-    /** The job of each task on record, also of those whose job has ended since. */
-    private final Map<String, OpenJob> everyJob = new HashMap<>();
-    /** Revision at which each attempt of a task was put on record. */
-    private final Map<String, Long> admittedAt = new HashMap<>();
+    /** The job of each recorded task, including jobs that have ended. */
+    private final Map<String, OpenJob> allJobs = new HashMap<>();
+    /** The revision at which each attempt of a task was recorded. */
+    private final Map<String, Long> admissionRevisions = new HashMap<>();
 
     private final Set<String> admittedJobs = new HashSet<>();
     private int reservations;
@@ -42,13 +43,13 @@
     private int starts;
     private int admissions;
 
-    /** A team's limit as it changed: by revision, and the last record. */
-    private static final class Limit {
+    /** The history of a team's limit by revision, and its latest record. */
+    private static final class LimitHistory {
         final TreeMap<Long, ResourceAmount> byRevision = new TreeMap<>();
         final Map<String, ResourceAmount> spent = new HashMap<>();
         TeamQuota record;
 
-        ResourceAmount inForce() {
+        ResourceAmount current() {
             return record.limit();
         }
     }
@@ -56,10 +57,10 @@
     private record OpenJob(
             String id, String team, ResourceAmount perTask, int tasks, boolean cancelled, Reservation reservation) {}
 
-    public QuotaHistoryChecker(FakeStore state, ClusterInvariants rules) {
-        this.rules = rules;
-        state.onCommit(this::committed);
-        rules.onStart(this::started);
+    public QuotaHistoryChecker(FakeStore state, ClusterInvariants invariants) {
+        this.invariants = invariants;
+        state.onCommit(this::onCommit);
+        invariants.onStart(this::onStart);
     }
 
     public int reservations() {
@@ -78,35 +79,37 @@
         return admissions;
     }
 
-    private void committed(List<Written> changes) {
+    private void onCommit(List<Written> changes) {
         for (Written change : changes) {
             if (change.key().startsWith(QuotaRecordCodec.PREFIX)) {
-                limitWritten(change);
+                onQuotaWritten(change);
             } else if (change.key().startsWith(StoreKeys.OPEN_JOBS)) {
-                jobWritten(change);
+                onJobWritten(change);
             } else if (change.key().startsWith(StoreKeys.ADMISSIONS) && change.value() != null) {
-                admissionWritten(change);
+                onAdmissionWritten(change);
             }
         }
     }
 
-    private void limitWritten(Written change) {
+    private void onQuotaWritten(Written change) {
         Store.Entry entry = new Store.Entry(change.key(), change.value(), change.version(), 0);
         try {
             if (QuotaRecordCodec.isCohort(change.key())) {
                 CohortQuota cohort = QuotaRecordCodec.decodeCohort(entry);
-                cohorts.computeIfAbsent(cohort.name(), name -> new TreeMap<>()).put(change.version(), cohort.limit());
+                cohortLimits
+                        .computeIfAbsent(cohort.name(), name -> new TreeMap<>())
+                        .put(change.version(), cohort.limit());
                 cohortVersions.put(cohort.name(), change.version());
             } else {
-                teamWritten(change, QuotaRecordCodec.decodeTeam(entry));
+                onTeamWritten(change, QuotaRecordCodec.decodeTeam(entry));
             }
         } catch (UnreadableQuotaRecordException unreadable) {
-            throw new AssertionError("a record that nobody can read: " + change, unreadable);
+            throw new AssertionError("unreadable record: " + change, unreadable);
         }
     }
 
-    private void teamWritten(Written change, TeamQuota record) {
-        Limit limit = limits.computeIfAbsent(record.name(), team -> new Limit());
+    private void onTeamWritten(Written change, TeamQuota record) {
+        LimitHistory limit = limitsByTeam.computeIfAbsent(record.name(), team -> new LimitHistory());
         limit.record = record;
         limit.spent.clear();
         limit.byRevision.put(change.version(), record.limit());
@@ -116,14 +119,14 @@
         }
     }
 
-    private void jobWritten(Written change) {
+    private void onJobWritten(Written change) {
         String id = StoreKeys.jobId(change.key());
         if (change.value() == null) {
             openJobs.remove(id);
             return;
         }
         Map<String, Object> value = change.value();
-        boolean isNew = !everyJob.containsKey(id);
+        boolean isNew = !allJobs.containsKey(id);
         OpenJob job = new OpenJob(
                 id,
                 Json.text(value, "crew"),
@@ -132,10 +135,10 @@
                 Json.flag(value, "cancelled"),
                 Reservation.fromJobRecord(value));
         openJobs.put(id, job);
-        everyJob.put(id, job);
+        allJobs.put(id, job);
         if (isNew && job.reservation != null && !job.reservation.isNone()) {
             reservations++;
-            Limit limit = limits.get(job.team);
+            LimitHistory limit = limitsByTeam.get(job.team);
             ResourceAmount amount = job.perTask.times(job.reservation.tasks());
             ResourceAmount spent = limit.spent.merge(job.reservation.owner(), amount, ResourceAmount::plus);
             if (job.reservation.quotaVersion() != limit.record.version()
@@ -149,12 +152,12 @@
         }
     }
 
-    private void admissionWritten(Written change) {
+    private void onAdmissionWritten(Written change) {
         String id = StoreKeys.jobId(change.key());
         admittedJobs.add(id);
         AdmissionRecordCodec.visit(change.value(), (machine, attempt, first, last) -> {
             for (int task = first; task <= last; task++) {
-                if (admittedAt.putIfAbsent(name(id, task, attempt), change.version()) == null) {
+                if (admissionRevisions.putIfAbsent(name(id, task, attempt), change.version()) == null) {
                     admissions++;
                 }
             }
@@ -166,29 +169,30 @@
     }
 
     private void check(String team, String what) {
-        Limit limit = limits.get(team);
-        requireWithin(limit.inForce(), counted(team), team, what);
+        LimitHistory limit = limitsByTeam.get(team);
+        requireWithin(limit.current(), countedUsage(team), team, what);
         String cohort = limit.record.cohort();
         if (cohort != null) {
             ResourceAmount sum = ResourceAmount.ZERO;
-            for (Limit member : limits.values()) {
+            for (LimitHistory member : limitsByTeam.values()) {
                 if (cohort.equals(member.record.cohort())) {
-                    sum = sum.plus(counted(member.record.name()));
+                    sum = sum.plus(countedUsage(member.record.name()));
                 }
             }
-            requireWithin(cohorts.get(cohort).lastEntry().getValue(), sum, "cohort " + cohort, what);
+            requireWithin(cohortLimits.get(cohort).lastEntry().getValue(), sum, "cohort " + cohort, what);
         }
     }
 
-    private void requireWithin(ResourceAmount limit, ResourceAmount counted, String who, String what) {
-        if (!QuotaInvariant.mayAdd(limit, counted, ResourceAmount.ZERO)) {
-            throw new AssertionError("overshoot: " + who + " has " + counted + " of " + limit + " when " + what + ": "
-                    + limits.keySet().stream().map(this::counting).toList());
+    private void requireWithin(ResourceAmount limit, ResourceAmount countedUsage, String who, String what) {
+        if (!QuotaInvariant.mayAdd(limit, countedUsage, ResourceAmount.ZERO)) {
+            throw new AssertionError("overshoot: " + who + " has " + countedUsage + " of " + limit + " when " + what
+                    + ": "
+                    + limitsByTeam.keySet().stream().map(this::describeUsage).toList());
         }
     }
 
-    /** What counts, for the report of a failure. */
-    private String counting(String team) {
+    /** Describes the counted usage for a failure message. */
+    private String describeUsage(String team) {
         StringBuilder text = new StringBuilder(team).append(": ");
         for (OpenJob job : openJobs.values()) {
             if (job.team.equals(team) && reserved(job) + running(job) > 0) {
@@ -196,19 +200,19 @@
                 text.append(" running ").append(running(job)).append("; ");
             }
         }
-        return text.append(limits.get(team).record)
+        return text.append(limitsByTeam.get(team).record)
                 .append(" spent ")
-                .append(limits.get(team).spent)
+                .append(limitsByTeam.get(team).spent)
                 .toString();
     }
 
-    /** What a team's jobs hold and its budgets may still reserve. */
-    private ResourceAmount counted(String team) {
-        Limit limit = limits.get(team);
-        ResourceAmount counted = ResourceAmount.ZERO;
+    /** Returns what the team's jobs use or reserve, plus what may still be reserved from its budgets. */
+    private ResourceAmount countedUsage(String team) {
+        LimitHistory limit = limitsByTeam.get(team);
+        ResourceAmount countedUsage = ResourceAmount.ZERO;
         for (OpenJob job : openJobs.values()) {
             if (job.team.equals(team)) {
-                counted = counted.plus(job.perTask.times(Math.max(reserved(job), running(job))));
+                countedUsage = countedUsage.plus(job.perTask.times(Math.max(reserved(job), running(job))));
             }
         }
         boolean areBudgetsValid = limit.record.cohort() == null
@@ -216,21 +220,24 @@
         if (areBudgetsValid) {
             for (Map.Entry<String, ResourceAmount> budget :
                     limit.record.budgets().entrySet()) {
-                counted = counted.plus(
+                countedUsage = countedUsage.plus(
                         budget.getValue().minus(limit.spent.getOrDefault(budget.getKey(), ResourceAmount.ZERO)));
             }
         }
-        return counted;
+        return countedUsage;
     }
 
-    /** What a reservation still holds: until the first admission, and no more than the tasks that are left to do. */
+    /**
+     * Returns how many tasks a reservation still covers: at most the unfinished tasks, and none after the first
+     * admission.
+     */
     private int reserved(OpenJob job) {
         if (job.cancelled || job.reservation == null || admittedJobs.contains(job.id)) {
             return 0;
         }
         int left = 0;
         for (int task = 0; task < job.tasks && left < job.reservation.tasks(); task++) {
-            left += rules.isOver(job.id, task) ? 0 : 1;
+            left += invariants.isOver(job.id, task) ? 0 : 1;
         }
         return left;
     }
@@ -238,15 +245,15 @@
     private int running(OpenJob job) {
         int running = 0;
         for (int task = 0; task < job.tasks; task++) {
-            running += rules.workerOf(job.id + "/" + task) == null ? 0 : 1;
+            running += invariants.workerOf(job.id + "/" + task) == null ? 0 : 1;
         }
         return running;
     }
 
-    /** What runs of the jobs that are asked for, also of those that are on record no more. */
+    /** Returns the usage of running tasks of the matching jobs, including jobs without an open record. */
     private ResourceAmount running(Predicate<OpenJob> which) {
         ResourceAmount sum = ResourceAmount.ZERO;
-        for (OpenJob job : everyJob.values()) {
+        for (OpenJob job : allJobs.values()) {
             if (which.test(job)) {
                 sum = sum.plus(job.perTask.times(running(job)));
             }
@@ -254,41 +261,45 @@
         return sum;
     }
 
-    private void started(String task, int attempt) {
+    private void onStart(String task, int attempt) {
         starts++;
-        OpenJob started = everyJob.get(task.substring(0, task.indexOf('/')));
-        Long admitted = admittedAt.get(task + " attempt " + attempt);
+        OpenJob started = allJobs.get(task.substring(0, task.indexOf('/')));
+        Long admitted = admissionRevisions.get(task + " attempt " + attempt);
         if (admitted == null) {
-            throw new AssertionError("started without being on record: " + task);
+            throw new AssertionError("started without a recorded admission: " + task);
         }
         checkCohort(started.team, admitted, task);
         ResourceAmount running = running(job -> job.team.equals(started.team));
-        if (!mostSince(started.team, admitted, running)) {
-            throw new AssertionError(
-                    "overshoot: " + started.team + " runs " + running + " with " + task + " admitted at " + admitted
-                            + " under " + limits.get(started.team).byRevision + ": " + counting(started.team));
+        if (!coveredByLimitSince(started.team, admitted, running)) {
+            throw new AssertionError("overshoot: " + started.team + " runs " + running + " with " + task
+                    + " admitted at " + admitted + " under " + limitsByTeam.get(started.team).byRevision + ": "
+                    + describeUsage(started.team));
         }
     }
 
-    /** A task that was admitted after its team joined the cohort finds all teams of it within a limit since. */
+    /**
+     * For a task that was admitted after the cohort was created, checks that the running tasks of all its teams fit a
+     * cohort limit that was in force since the admission.
+     */
     private void checkCohort(String team, long admitted, String task) {
-        String cohort = limits.containsKey(team) ? limits.get(team).record.cohort() : null;
-        if (cohort == null || cohorts.get(cohort).firstKey() > admitted) {
+        String cohort =
+                limitsByTeam.containsKey(team) ? limitsByTeam.get(team).record.cohort() : null;
+        if (cohort == null || cohortLimits.get(cohort).firstKey() > admitted) {
             return;
         }
         ResourceAmount running =
-                running(job -> cohort.equals(limits.get(job.team).record.cohort()));
-        TreeMap<Long, ResourceAmount> history = cohorts.get(cohort);
+                running(job -> cohort.equals(limitsByTeam.get(job.team).record.cohort()));
+        TreeMap<Long, ResourceAmount> history = cohortLimits.get(cohort);
         if (history.tailMap(history.floorKey(admitted)).values().stream().noneMatch(running::fitsInto)) {
             throw new AssertionError("overshoot: cohort " + cohort + " runs " + running + " with " + task
                     + " admitted at " + admitted + " under " + history + ": "
-                    + limits.keySet().stream().map(this::counting).toList());
+                    + limitsByTeam.keySet().stream().map(this::describeUsage).toList());
         }
     }
 
-    /** Whether a limit that was in force at this revision or later covers so much. */
-    private boolean mostSince(String team, long revision, ResourceAmount running) {
-        Limit limit = limits.get(team);
+    /** Returns whether a limit that was in force at this revision or later covers the running tasks. */
+    private boolean coveredByLimitSince(String team, long revision, ResourceAmount running) {
+        LimitHistory limit = limitsByTeam.get(team);
         if (limit == null) {
             return true;
         }
--- a/src/test/java/org/weldcourse/quota/TeamLimitsRandomTest.java
+++ b/src/test/java/org/weldcourse/quota/TeamLimitsRandomTest.java
@@ -26,10 +26,13 @@
 import org.weldcourse.simulation.FakeNetwork;
 import org.weldcourse.simulation.SimulatedCluster;
 
-/** Random days: five controllers, limits that change, and troubles at any moment. The history has to show no overshoot. */
+/**
+ * Random scenarios with five controllers, changing limits and faults at any time. The history must never show usage
+ * above the limits.
+ */
 class TeamLimitsRandomTest {
     private static final int SEEDS = Integer.getInteger("weldcourse.seeds", 120);
-    private static final int FROM = Integer.getInteger("weldcourse.first-seed", 0);
+    private static final int FIRST_SEED = Integer.getInteger("weldcourse.first-seed", 0);
     private static final int NODES = 5;
     private static final int EVENTS = 60;
     private static final String COHORT = "branches";
@@ -37,7 +40,7 @@
     private static final List<Settings.Team> TEAMS =
             List.of(new Settings.Team("core", 4, 16, 0, 0), new Settings.Team("edge", 0, 12, 0, 0));
 
-    /** What all days of a test came to. */
+    /** Totals over all scenarios of a test. */
     private static final class Totals {
         int reservations;
         int budgets;
@@ -47,44 +50,45 @@
         int limitsSet;
     }
 
-    private static final class Day {
+    private static final class Scenario {
         private final Random random;
-        private final SimulatedCluster world;
+        private final SimulatedCluster cluster;
         private final QuotaHistoryChecker history;
         private final Totals totals;
         private final Map<String, Map<String, Object>> accepted = new LinkedHashMap<>();
         private final List<String> cancelled = new ArrayList<>();
-        private final List<String> down = new ArrayList<>();
+        private final List<String> stoppedNodes = new ArrayList<>();
         private final boolean inCohort;
-        /** On light days jobs are short, so that there mostly is room and controllers reserve. */
-        private final boolean light;
+        /** Under light load jobs are short, so that quota is mostly free and controllers make reservations. */
+        private final boolean lightLoad;
 
         private int submitted;
 
-        Day(long seed, Totals totals) {
+        Scenario(long seed, Totals totals) {
             this.totals = totals;
             random = new Random(seed);
-            world = new SimulatedCluster(NODES, 16, 32 * 1024, TEAMS, OperatorSettings.TeamLimitSource.RECORDED);
-            history = new QuotaHistoryChecker(world.store, world.rules());
+            cluster = new SimulatedCluster(NODES, 16, 32 * 1024, TEAMS, OperatorSettings.TeamLimitSource.RECORDED);
+            history = new QuotaHistoryChecker(cluster.store, cluster.rules());
             inCohort = seed % 2 == 1;
-            light = seed % 4 >= 2;
+            lightLoad = seed % 4 >= 2;
         }
 
-        private long fate() {
-            int dice = random.nextInt(200);
-            if (dice == 0) {
+        private long injectedDelay() {
+            int roll = random.nextInt(200);
+            if (roll == 0) {
                 return FakeNetwork.ANSWER_LOST;
             }
-            // Carried out late, long after the caller has given up.
-            return dice == 1 ? 2_000_000 + random.nextInt(8_000_000) : FakeNetwork.NORMAL;
+            // The write takes effect long after the caller has timed out.
+            return roll == 1 ? 2_000_000 + random.nextInt(8_000_000) : FakeNetwork.NORMAL;
         }
 
-        /** Both teams borrow in one cohort on half of the days. */
+        /** Puts both teams in one cohort. Half of the scenarios do so. */
         private void joinCohort() {
-            QuotaEditor editor = new QuotaEditor(world.storeOf("operator"));
-            changed(then -> editor.setCohort(COHORT, cohortChange(COHORT_LIMIT), then));
+            QuotaEditor editor = new QuotaEditor(cluster.storeOf("operator"));
+            editAndRequireSuccess(callback -> editor.setCohort(COHORT, cohortChange(COHORT_LIMIT), callback));
             for (Settings.Team team : TEAMS) {
-                changed(then -> editor.set(team, new QuotaChange(null, null, null, null, null, COHORT), then));
+                editAndRequireSuccess(
+                        callback -> editor.set(team, new QuotaChange(null, null, null, null, null, COHORT), callback));
             }
         }
 
@@ -92,24 +96,24 @@
             return new QuotaChange(null, limit, null, null, null, null);
         }
 
-        private void changed(Consumer<Consumer<QuotaEditor.Result<?>>> edit) {
+        private void editAndRequireSuccess(Consumer<Consumer<QuotaEditor.Result<?>>> edit) {
             AtomicReference<QuotaEditor.Result<?>> result = new AtomicReference<>();
             edit.accept(result::set);
-            world.clock.passSeconds(2);
+            cluster.clock.passSeconds(2);
             assertNotNull(result.get());
             assertTrue(result.get().isChanged(), result.get().problem());
         }
 
-        void play() {
-            world.clock.passSeconds(8);
+        void run() {
+            cluster.clock.passSeconds(8);
             if (inCohort) {
                 joinCohort();
             }
-            world.network.injectFaults((from, call) -> fate());
+            cluster.network.injectFaults((from, call) -> injectedDelay());
             for (int i = 0; i < EVENTS; i++) {
                 totals.events++;
-                event(random.nextInt(20));
-                world.clock.pass(random.nextInt(700_000));
+                injectEvent(random.nextInt(20));
+                cluster.clock.pass(random.nextInt(700_000));
             }
             recover();
             totals.reservations += history.reservations();
@@ -118,30 +122,30 @@
             totals.admissions += history.admissions();
         }
 
-        private void event(int kind) {
+        private void injectEvent(int kind) {
             switch (kind) {
                 case 0, 1, 2 -> submitEverywhere();
-                case 3, 4, 5, 6, 7 -> submit(node());
+                case 3, 4, 5, 6, 7 -> submit(randomNode());
                 case 8, 9, 10 -> setLimit();
                 case 11 -> cancelOne();
-                case 12 -> world.freezeNode(node());
-                case 13 -> world.alive().forEach(world::thawNode);
+                case 12 -> cluster.freezeNode(randomNode());
+                case 13 -> cluster.alive().forEach(cluster::thawNode);
                 case 14 -> killAndRestart(random.nextBoolean());
-                case 15 -> world.cutFromStore(node());
-                case 16 -> world.nodes().forEach(world::healToStore);
-                case 17 -> world.refuseStore(node(), random.nextBoolean());
+                case 15 -> cluster.cutFromStore(randomNode());
+                case 16 -> cluster.nodes().forEach(cluster::healToStore);
+                case 17 -> cluster.refuseStore(randomNode(), random.nextBoolean());
                 case 18 -> hangMachine();
                 default -> loseLeader();
             }
         }
 
-        private String node() {
-            return world.alive().get(random.nextInt(world.alive().size()));
+        private String randomNode() {
+            return cluster.alive().get(random.nextInt(cluster.alive().size()));
         }
 
-        /** Jobs of one team come to all controllers in the same instant. */
+        /** Submits jobs to all controllers at the same instant. */
         private void submitEverywhere() {
-            world.alive().forEach(this::submit);
+            cluster.alive().forEach(this::submit);
         }
 
         private void submit(String node) {
@@ -154,7 +158,7 @@
                     body.put("shape", "service");
                     body.put("expected_s", 0.0);
                     body.put("beads", 1L + random.nextInt(2));
-                    world.runMicros.put(id, Long.MAX_VALUE);
+                    cluster.runMicros.put(id, Long.MAX_VALUE);
                     cancelled.add(id);
                 }
                 default -> {
@@ -163,8 +167,8 @@
                 }
             }
             body.put("rank", random.nextInt(4) == 0 ? "urgent" : "normal");
-            world.runMicros.putIfAbsent(id, 300_000L + random.nextInt(light ? 1_000_000 : 6_000_000));
-            world.submitSoon(node, body, answer -> {
+            cluster.runMicros.putIfAbsent(id, 300_000L + random.nextInt(lightLoad ? 1_000_000 : 6_000_000));
+            cluster.submitSoon(node, body, answer -> {
                 if (answer.status() == 200 || answer.status() == 201) {
                     accepted.put(id, body);
                 }
@@ -175,121 +179,125 @@
             totals.limitsSet++;
             if (inCohort && random.nextInt(3) == 0) {
                 double limit = 4 + random.nextInt((int) COHORT_LIMIT - 3);
-                new QuotaEditor(world.storeOf("operator")).setCohort(COHORT, cohortChange(limit), result -> {});
+                new QuotaEditor(cluster.storeOf("operator")).setCohort(COHORT, cohortChange(limit), result -> {});
                 return;
             }
             Settings.Team team = TEAMS.get(random.nextInt(TEAMS.size()));
             double limit = 1 + random.nextInt((int) team.cpusMax());
-            if (light) {
+            if (lightLoad) {
                 limit = Math.max(limit, team.cpusMax() / 2);
             }
             OverQuotaPolicy over = random.nextBoolean() ? OverQuotaPolicy.DRAIN : OverQuotaPolicy.PREEMPT;
             QuotaChange change = new QuotaChange(Math.min(limit, team.cpus()), limit, null, null, over, null);
-            new QuotaEditor(world.storeOf("operator")).set(team, change, result -> {});
+            new QuotaEditor(cluster.storeOf("operator")).set(team, change, result -> {});
         }
 
         private void cancelOne() {
             if (!accepted.isEmpty()) {
                 String id = new ArrayList<>(accepted.keySet()).get(random.nextInt(accepted.size()));
                 cancelled.add(id);
-                world.cancel(node(), id);
+                cluster.cancel(randomNode(), id);
             }
         }
 
-        private void killAndRestart(boolean atOnce) {
-            String node = node();
-            world.killNode(node);
-            if (atOnce || world.alive().isEmpty()) {
-                world.startNode(node);
+        private void killAndRestart(boolean restartImmediately) {
+            String node = randomNode();
+            cluster.killNode(node);
+            if (restartImmediately || cluster.alive().isEmpty()) {
+                cluster.startNode(node);
             } else {
-                down.add(node);
-                startAgain();
+                stoppedNodes.add(node);
+                restartNode();
             }
         }
 
-        private void startAgain() {
-            if (down.size() > 2) {
-                world.startNode(down.remove(0));
+        private void restartNode() {
+            if (stoppedNodes.size() > 2) {
+                cluster.startNode(stoppedNodes.remove(0));
             }
         }
 
         private void loseLeader() {
-            if (world.leader() != null) {
-                world.freezeNode(world.leader());
+            if (cluster.leader() != null) {
+                cluster.freezeNode(cluster.leader());
             }
         }
 
         private void hangMachine() {
-            if (!world.workers.isEmpty()) {
-                List<String> names = new ArrayList<>(world.workers.keySet());
+            if (!cluster.workers.isEmpty()) {
+                List<String> names = new ArrayList<>(cluster.workers.keySet());
                 String name = names.get(random.nextInt(names.size()));
-                world.workers.get(name).freeze(true);
-                world.clock.after(1_000_000 + random.nextInt(12_000_000), () -> {
-                    if (world.workers.containsKey(name)) {
-                        world.workers.get(name).freeze(false);
+                cluster.workers.get(name).freeze(true);
+                cluster.clock.after(1_000_000 + random.nextInt(12_000_000), () -> {
+                    if (cluster.workers.containsKey(name)) {
+                        cluster.workers.get(name).freeze(false);
                     }
                 });
             }
         }
 
-        /** Troubles are over: every accepted job ends or serves, and the room that was reserved is free again. */
+        /** Ends all faults, then checks that every accepted job ends or is cancelled and that no open job remains. */
         private void recover() {
-            world.network.injectFaults((from, call) -> FakeNetwork.NORMAL);
-            world.alive().forEach(world::thawNode);
-            down.forEach(world::startNode);
-            world.nodes().forEach(node -> {
-                world.healToStore(node);
-                world.refuseStore(node, false);
+            cluster.network.injectFaults((from, call) -> FakeNetwork.NORMAL);
+            cluster.alive().forEach(cluster::thawNode);
+            stoppedNodes.forEach(cluster::startNode);
+            cluster.nodes().forEach(node -> {
+                cluster.healToStore(node);
+                cluster.refuseStore(node, false);
             });
-            world.clock.passSeconds(30);
+            cluster.clock.passSeconds(30);
             if (inCohort) {
-                QuotaEditor editor = new QuotaEditor(world.storeOf("operator"));
-                changed(then -> editor.setCohort(COHORT, cohortChange(COHORT_LIMIT), then));
+                QuotaEditor editor = new QuotaEditor(cluster.storeOf("operator"));
+                editAndRequireSuccess(callback -> editor.setCohort(COHORT, cohortChange(COHORT_LIMIT), callback));
             }
             for (Settings.Team team : TEAMS) {
                 QuotaChange change =
                         new QuotaChange(team.cpus(), team.cpusMax(), null, null, OverQuotaPolicy.DRAIN, null);
-                changed(then -> new QuotaEditor(world.storeOf("operator")).set(team, change, then));
+                editAndRequireSuccess(
+                        callback -> new QuotaEditor(cluster.storeOf("operator")).set(team, change, callback));
             }
             for (String id : cancelled) {
                 if (accepted.containsKey(id)) {
-                    world.cancel(node(), id);
+                    cluster.cancel(randomNode(), id);
                 }
             }
-            for (int i = 0; i < 200 && !world.store.keys("open/").isEmpty(); i++) {
-                world.clock.passSeconds(1);
-                world.store.keys("open/").forEach(this::cancelUnanswered);
+            for (int i = 0; i < 200 && !cluster.store.keys("open/").isEmpty(); i++) {
+                cluster.clock.passSeconds(1);
+                cluster.store.keys("open/").forEach(this::cancelUnanswered);
             }
-            assertEquals(List.of(), world.store.keys("open/"), this::standing);
-            accepted.keySet().forEach(id -> assertNotNull(world.store.value("final/" + id), id));
+            assertEquals(List.of(), cluster.store.keys("open/"), this::storeContents);
+            accepted.keySet().forEach(id -> assertNotNull(cluster.store.value("final/" + id), id));
         }
 
-        /** The ledger and the open jobs, for the report of a day that did not end well. */
-        private String standing() {
+        /** Returns the ledger and the open jobs for a failure message. */
+        private String storeContents() {
             StringBuilder text = new StringBuilder();
             for (String prefix : List.of(QuotaRecordCodec.PREFIX, "open/", "slices/")) {
-                world.store
+                cluster.store
                         .keys(prefix)
                         .forEach(
-                                key -> text.append('\n').append(key).append(' ').append(world.store.value(key)));
+                                key -> text.append('\n').append(key).append(' ').append(cluster.store.value(key)));
             }
             return text.toString();
         }
 
-        /** A job whose acceptance was never answered runs all the same; a service of this kind would never end. */
+        /**
+         * Cancels a service whose submission succeeded but was never answered. It runs like any accepted job and would
+         * never end.
+         */
         private void cancelUnanswered(String key) {
             String id = key.substring("open/".length());
             if (cancelled.contains(id) && !accepted.containsKey(id)) {
-                world.cancel(node(), id);
+                cluster.cancel(randomNode(), id);
             }
         }
     }
 
-    private static Totals play(int from, int to) {
+    private static Totals run(int from, int to) {
         Totals totals = new Totals();
         for (int seed = from; seed < to; seed++) {
             try {
-                new Day(seed, totals).play();
+                new Scenario(seed, totals).run();
             } catch (AssertionError failure) {
                 throw new AssertionError("seed " + seed + ": " + failure.getMessage(), failure);
             }
@@ -298,12 +306,12 @@
     }
 
     @Test
-    void noHistoryShowsAnOvershoot() {
-        Totals totals = play(FROM, FROM + SEEDS);
+    void limitsHoldInRandomHistories() {
+        Totals totals = run(FIRST_SEED, FIRST_SEED + SEEDS);
         System.out.printf(
                 "seeds %d to %d: %d events, %d limits set, %d budgets, %d reservations, %d admissions, %d starts%n",
-                FROM,
-                FROM + SEEDS - 1,
+                FIRST_SEED,
+                FIRST_SEED + SEEDS - 1,
                 totals.events,
                 totals.limitsSet,
                 totals.budgets,
@@ -314,15 +322,17 @@
         assertTrue(totals.starts > 10 * SEEDS, totals.starts + " starts");
     }
 
-    /** The checker would be worth nothing if it passed a service that does not hold the guards on the ledger. */
+    /**
+     * Verifies the checker itself: it must fail against a store that ignores the version conditions on quota records.
+     */
     @Test
-    void withoutGuardsOnTheLedgerTheCheckerFails() {
+    void checkerDetectsMissingVersionConditions() {
         int failed = 0;
         for (int seed = 0; seed < 10; seed++) {
-            Day day = new Day(seed, new Totals());
-            day.world.store.ignoreGuards(QuotaRecordCodec.PREFIX);
+            Scenario scenario = new Scenario(seed, new Totals());
+            scenario.cluster.store.ignoreGuards(QuotaRecordCodec.PREFIX);
             try {
-                day.play();
+                scenario.run();
             } catch (AssertionError expected) {
                 failed += expected.getMessage().contains("overshoot")
                                 || expected.getMessage().contains("reserved beyond")
@@ -330,11 +340,11 @@
                         : 0;
             }
         }
-        assertTrue(failed > 0, "the checker found nothing");
+        assertTrue(failed > 0, "the checker detected no violation");
     }
 
     @Test
-    void operatorsSwitchItOnByName() throws Exception {
+    void teamLimitSourceIsParsedByName() throws Exception {
         assertEquals(OperatorSettings.TeamLimitSource.SETTINGS, OperatorSettings.DEFAULT.teamLimitSource());
         assertEquals(
                 OperatorSettings.TeamLimitSource.RECORDED, parse("recorded").teamLimitSource());
--- a/src/test/java/org/weldcourse/quota/TeamLimitsWorld.java
+++ b/src/test/java/org/weldcourse/quota/TeamLimitsTestBase.java
@@ -21,8 +21,11 @@
 import org.weldcourse.settings.Settings;
 import org.weldcourse.simulation.SimulatedCluster;
 
-/** Five controllers with team limits on record, three teams, and an operator; the history is checked all along. */
-class TeamLimitsWorld {
+/**
+ * Base of the team limit tests: five controllers with limits in the ledger, three teams and an operator. The history is
+ * checked throughout each test.
+ */
+class TeamLimitsTestBase {
     static final long FOREVER = Long.MAX_VALUE;
     static final String CORE = "core";
     static final List<Settings.Team> TEAMS = List.of(
@@ -30,19 +33,20 @@
             new Settings.Team("edge", 4, 16, 0, 0),
             new Settings.Team("late", 4, 16, 0, 0));
 
-    final SimulatedCluster world;
+    final SimulatedCluster cluster;
     final QuotaHistoryChecker history;
     final QuotaEditor operator;
     private int lastJob;
 
-    TeamLimitsWorld() {
-        world = new SimulatedCluster(5, 16, 32 * 1024, TEAMS, OperatorSettings.TeamLimitSource.RECORDED);
-        history = new QuotaHistoryChecker(world.store, world.rules());
-        operator = new QuotaEditor(world.storeOf("operator"));
-        world.clock.passSeconds(3);
+    TeamLimitsTestBase() {
+        cluster = new SimulatedCluster(5, 16, 32 * 1024, TEAMS, OperatorSettings.TeamLimitSource.RECORDED);
+        history = new QuotaHistoryChecker(cluster.store, cluster.rules());
+        operator = new QuotaEditor(cluster.storeOf("operator"));
+        cluster.clock.passSeconds(3);
     }
 
-    static QuotaChange limit(double cpus) {
+    /** Returns a change to this limit. It lowers the guarantee too if the limit is below it. */
+    static QuotaChange limitChange(double cpus) {
         return new QuotaChange(Math.min(4, cpus), cpus, null, null, null, null);
     }
 
@@ -50,14 +54,14 @@
         AtomicReference<QuotaEditor.Result<?>> result = new AtomicReference<>();
         change.accept(result::set);
         for (int i = 0; i < 100 && result.get() == null; i++) {
-            world.clock.pass(50_000);
+            cluster.clock.pass(50_000);
         }
-        assertNotNull(result.get(), "the operator's change has ended");
+        assertNotNull(result.get(), "the operator's change has completed");
         return result.get();
     }
 
     void set(String team, QuotaChange change) {
-        QuotaEditor.Result<?> result = edit(then -> operator.set(team(team), change, then));
+        QuotaEditor.Result<?> result = edit(callback -> operator.set(team(team), change, callback));
         assertTrue(result.isChanged(), result.problem());
     }
 
@@ -70,7 +74,7 @@
 
     Map<String, Object> job(String team, long runMicros, Object... changes) {
         String id = String.format("req-%06d", ++lastJob);
-        world.runMicros.put(id, runMicros);
+        cluster.runMicros.put(id, runMicros);
         Map<String, Object> body = jobBody(id, "crew", team, "cpus", 1.0, "beads", 1L);
         body.putAll(Json.of(changes));
         return body;
@@ -80,27 +84,28 @@
         return Json.text(body, "name_id");
     }
 
-    Map<String, Object> submitted(String node, Map<String, Object> body) {
-        assertEquals(201, world.submit(node, body).status());
+    Map<String, Object> submitAccepted(String node, Map<String, Object> body) {
+        assertEquals(201, cluster.submit(node, body).status());
         return body;
     }
 
-    /** Lets every controller get a budget by accepting a job of the team. */
+    /** Lets every controller accept a few jobs of the team, so that the leader grants budgets. */
     void grantBudgets(String team) {
         for (int round = 0; round < 3; round++) {
-            world.alive().forEach(node -> submitted(node, job(team, 100_000, "shape", "ensemble")));
-            world.clock.passSeconds(3);
+            cluster.alive().forEach(node -> submitAccepted(node, job(team, 100_000, "shape", "ensemble")));
+            cluster.clock.passSeconds(3);
         }
-        for (int i = 0; i < 60 && !world.store.keys("open/").isEmpty(); i++) {
-            world.clock.passSeconds(1);
+        for (int i = 0; i < 60 && !cluster.store.keys("open/").isEmpty(); i++) {
+            cluster.clock.passSeconds(1);
         }
-        assertFalse(record(team).budgets().isEmpty(), "controllers have budgets");
+        assertFalse(teamRecord(team).budgets().isEmpty(), "controllers have budgets");
     }
 
-    TeamQuota record(String team) {
+    TeamQuota teamRecord(String team) {
         try {
             String key = QuotaRecordCodec.teamKey(team);
-            return QuotaRecordCodec.decodeTeam(new org.weldcourse.store.Store.Entry(key, world.store.value(key), 1, 0));
+            return QuotaRecordCodec.decodeTeam(
+                    new org.weldcourse.store.Store.Entry(key, cluster.store.value(key), 1, 0));
         } catch (UnreadableQuotaRecordException unreadable) {
             throw new AssertionError(unreadable);
         }
@@ -108,8 +113,8 @@
 
     double reservedCpus(String team) {
         double sum = 0;
-        for (String key : world.store.keys("open/")) {
-            Map<String, Object> value = world.store.value(key);
+        for (String key : cluster.store.keys("open/")) {
+            Map<String, Object> value = cluster.store.value(key);
             Reservation reservation = Reservation.fromJobRecord(value);
             if (team.equals(value.get("crew")) && reservation != null) {
                 sum += reservation.tasks() * Json.decimal(value, "cpus", 0);
@@ -118,40 +123,42 @@
         return sum;
     }
 
-    int running(String team) {
+    int runningTasks(String team) {
         int running = 0;
-        for (Map.Entry<String, Map<String, Object>> entry : world.jobs.entrySet()) {
+        for (Map.Entry<String, Map<String, Object>> entry : cluster.jobs.entrySet()) {
             for (int task = 0; task < Json.integer(entry.getValue(), "beads", 0); task++) {
-                boolean here = world.workerOf(entry.getKey() + "/" + task) != null;
-                running += here && team.equals(entry.getValue().get("crew")) ? 1 : 0;
+                boolean isRunning = cluster.workerOf(entry.getKey() + "/" + task) != null;
+                running += isRunning && team.equals(entry.getValue().get("crew")) ? 1 : 0;
             }
         }
         return running;
     }
 
-    void cohort(double cpus) {
+    /** Creates a cohort with this limit and puts all teams in it. */
+    void putTeamsInCohort(double cpus) {
         QuotaChange change = new QuotaChange(null, cpus, null, null, null, null);
-        assertTrue(edit(then -> operator.setCohort("all", change, then)).isChanged());
+        assertTrue(edit(callback -> operator.setCohort("all", change, callback)).isChanged());
         for (Settings.Team team : TEAMS) {
             set(team.name(), new QuotaChange(null, null, null, null, null, "all"));
         }
     }
 
-    Map<String, Object> service(String team, long replicas) {
-        return submitted("n0", job(team, FOREVER, "shape", "service", "beads", replicas, "expected_s", 0.0));
+    Map<String, Object> submitService(String team, long replicas) {
+        return submitAccepted("n0", job(team, FOREVER, "shape", "service", "beads", replicas, "expected_s", 0.0));
     }
 
+    /** Advances the clock until each team runs as many tasks as its guarantee, and returns the elapsed seconds. */
     double secondsUntilGuarantees(String... teams) {
         for (int tenths = 0; tenths < 3_000; tenths++) {
-            boolean whole = true;
+            boolean restored = true;
             for (String team : teams) {
-                whole &= running(team) >= 4;
+                restored &= runningTasks(team) >= 4;
             }
-            if (whole) {
+            if (restored) {
                 return tenths / 10.0;
             }
-            world.clock.pass(100_000);
+            cluster.clock.pass(100_000);
         }
-        throw new AssertionError("guarantees are not had back");
+        throw new AssertionError("guarantees were not restored");
     }
 }
--- a/src/test/java/org/weldcourse/quota/enforcement/BudgetDivisionTest.java
+++ b/src/test/java/org/weldcourse/quota/enforcement/BudgetDivisionTest.java
@@ -12,7 +12,7 @@
 import org.weldcourse.quota.ResourceAmount;
 import org.weldcourse.quota.enforcement.BudgetDivision.Request;
 
-/** Tests of {@link BudgetDivision} and of its whole-number program. */
+/** Tests of {@link BudgetDivision}: round robin and the integer program, and of the arithmetic they rely on. */
 class BudgetDivisionTest {
     private final BudgetDivision solver = new IntegerProgramDivision();
 
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void everyoneIsServedOnceBeforeAnyoneIsTwice() {
+    void everyOwnerIsServedOnceBeforeAnyIsServedTwice() {
         List<Request> requests = List.of(request("n0", 1, 0, 50), request("n1", 4, 0, 1), request("n2", 1, 1, 2));
         for (BudgetDivision division : List.of(solver, (BudgetDivision) BudgetDivision::roundRobin)) {
             Map<String, Integer> granted = division.divide(ResourceAmount.of(8, 1), requests);
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void theSolverServesTwoWhereTurnsServeOne() {
+    void solverServesTwoOwnersWhereRoundRobinServesOne() {
         List<Request> requests = List.of(request("n0", 5, 0, 1), request("n1", 3, 0, 1), request("n2", 3, 0, 1));
         assertEquals(Map.of("n0", 1), BudgetDivision.roundRobin(ResourceAmount.of(6, 0), requests));
         Map<String, Integer> granted = solver.divide(ResourceAmount.of(6, 0), requests);
@@ -38,29 +38,29 @@
     }
 
     @Test
-    void noDivisionExceedsTheRoomOrTheDemand() {
+    void noDivisionExceedsTheAvailableQuotaOrTheDemand() {
         Random random = new Random(5);
         for (int round = 0; round < 100; round++) {
             List<Request> requests = new ArrayList<>();
             for (int i = 0; i < 1 + random.nextInt(7); i++) {
                 requests.add(request("n" + i, 0.1 + random.nextInt(80) / 10.0, random.nextInt(3), random.nextInt(9)));
             }
-            ResourceAmount room = ResourceAmount.of(random.nextInt(40), random.nextInt(8));
+            ResourceAmount available = ResourceAmount.of(random.nextInt(40), random.nextInt(8));
             for (BudgetDivision division : List.of(solver, (BudgetDivision) BudgetDivision::roundRobin)) {
-                Map<String, Integer> granted = division.divide(room, requests);
+                Map<String, Integer> granted = division.divide(available, requests);
                 ResourceAmount taken = ResourceAmount.ZERO;
                 for (Request request : requests) {
                     int count = granted.getOrDefault(request.owner(), 0);
                     assertTrue(count >= 0 && count <= request.maxReservations());
                     taken = taken.plus(request.amount().times(count));
                 }
-                assertTrue(taken.fitsInto(room), taken + " of " + room);
+                assertTrue(taken.fitsInto(available), taken + " of " + available);
             }
         }
     }
 
     @Test
-    void roundingAloneExceedsNoLimit() {
+    void roundingErrorsDoNotExceedTheLimit() {
         ResourceAmount limit = ResourceAmount.limit(2, 0);
         assertTrue(!QuotaInvariant.isExceeded(
                 limit, ResourceAmount.of(0.6666666667, 0).times(3)));
--- a/src/test/java/org/weldcourse/quota/enforcement/QuotaSnapshotScaleTest.java
+++ b/src/test/java/org/weldcourse/quota/enforcement/QuotaSnapshotScaleTest.java
@@ -20,13 +20,13 @@
 import org.weldcourse.quota.ledger.Reservation;
 import org.weldcourse.quota.ledger.TeamQuota;
 
-/** Team limits at the size that is served: 4,000 machines, 200 teams, 20,000 open jobs. */
+/** Tests team limits at the supported scale: 4,000 machines, 200 teams and 20,000 open jobs. */
 class QuotaSnapshotScaleTest {
     private static final int MACHINES = 4_000;
     private static final int TEAMS = 200;
     private static final int JOBS = 20_000;
     private static final int CONTROLLERS = 9;
-    private static final int LEAST_VALUE_BYTES = 4 * 1024;
+    private static final int MIN_STORE_VALUE_BYTES = 4 * 1024;
 
     private final ClusterState cluster = new ClusterState();
     private final ReservationTracker reservations = new ReservationTracker();
@@ -42,13 +42,13 @@
     }
 
     @Test
-    void aRecordFitsTheSmallestValuesThatAStateServiceAllows() {
+    void recordFitsTheSmallestValueLimitOfTheStore() {
         byte[] value = Json.bytes(QuotaRecordCodec.encode(team(0)));
-        assertTrue(value.length < LEAST_VALUE_BYTES, value.length + " bytes");
+        assertTrue(value.length < MIN_STORE_VALUE_BYTES, value.length + " bytes");
     }
 
     @Test
-    void anAccountLooksAtReservedJobsOnly() throws Exception {
+    void applyReservationsVisitsOnlyReservedJobs() throws Exception {
         for (int i = 0; i < MACHINES; i++) {
             cluster.getOrAddMachine("m-" + i, 0);
         }
@@ -67,18 +67,18 @@
             Reservation reservation = new Reservation("controller-0", 1, reserved ? 1 : 0);
             reservations.addJob(id, job.spec().team(), ResourceAmount.of(1, 0), reservation);
         }
-        int[] looked = new int[1];
-        int covered = 0;
+        int[] visitedJobs = new int[1];
+        int jobsApplied = 0;
         for (int i = 0; i < TEAMS; i++) {
-            ReservationTracker.AppliedReservations honoured = reservations.applyReservations(
+            ReservationTracker.AppliedReservations applied = reservations.applyReservations(
                     "team-" + i, new QuotaHeadroom(ResourceAmount.limit(500, 0), ResourceAmount.ZERO), null, job -> {
-                        looked[0]++;
+                        visitedJobs[0]++;
                         return 1;
                     });
-            covered += honoured.tasksByJob().size();
+            jobsApplied += applied.tasksByJob().size();
         }
-        assertEquals(JOBS / 10, looked[0]);
-        assertEquals(JOBS / 10, covered);
+        assertEquals(JOBS / 10, visitedJobs[0]);
+        assertEquals(JOBS / 10, jobsApplied);
         jobs.forEach(job -> reservations.removeJob(job.spec().id()));
         assertEquals(0, reservations.reservedTasks("req-000000"));
     }
--- a/src/test/java/org/weldcourse/quota/ledger/QuotaRecordCodecTest.java
+++ b/src/test/java/org/weldcourse/quota/ledger/QuotaRecordCodecTest.java
@@ -9,7 +9,7 @@
 import org.weldcourse.quota.ResourceAmount;
 import org.weldcourse.store.Store;
 
-/** Tests of {@link QuotaRecordCodec}: stored records stay readable, and what can't be read says why. */
+/** Tests of {@link QuotaRecordCodec}: stored records stay readable, and an unreadable record reports the reason. */
 class QuotaRecordCodecTest {
     private static final String KEY = "quota/team/core";
     private static final TeamQuota QUOTA = new TeamQuota(
@@ -21,7 +21,7 @@
                     7)
             .withBudgets(Map.of("n0#1", ResourceAmount.of(2, 0)), 5);
 
-    /** The record as stored by earlier versions too, with some fields changed. */
+    /** Returns the value of a record as earlier versions also stored it, with some fields changed. */
     private static Map<String, Object> stored(Object... changes) {
         Map<String, Object> value = Json.of(
                 "format",
@@ -48,20 +48,20 @@
         return value;
     }
 
-    private static TeamQuota read(Map<String, Object> value) throws UnreadableQuotaRecordException {
+    private static TeamQuota decode(Map<String, Object> value) throws UnreadableQuotaRecordException {
         return QuotaRecordCodec.decodeTeam(new Store.Entry(KEY, value, 7, 0));
     }
 
     @Test
-    void aTeamsRecordIsReadAndWrittenAsItStands() throws Exception {
-        assertEquals(QUOTA, read(stored()));
+    void teamRecordRoundTrips() throws Exception {
+        assertEquals(QUOTA, decode(stored()));
         assertEquals(Json.parse(Json.bytes(stored())), Json.parse(Json.bytes(QuotaRecordCodec.encode(QUOTA))));
         assertEquals(KEY, QuotaRecordCodec.teamKey("core"));
     }
 
     @Test
-    void whatCannotBeReadNamesItsKeyItsFormatAndTheFault() {
-        Map<Map<String, Object>, String> faults = Map.of(
+    void unreadableRecordReportsKeyFormatAndProblem() {
+        Map<Map<String, Object>, String> problemsByValue = Map.of(
                 stored("format", 2L), "its format is 2, and this version knows format 1",
                 stored("team", "edge"), "field team does not belong to its key",
                 stored("cpus_max", -1.0), "field cpus_max is missing or no amount",
@@ -69,9 +69,9 @@
                 stored("cohort", 3L), "field cohort is no name",
                 stored("cpus_max", 1.0), "its budgets exceed its limit",
                 stored("budgets", "none"), "field budgets is missing or no object");
-        faults.forEach((value, problem) -> {
+        problemsByValue.forEach((value, problem) -> {
             UnreadableQuotaRecordException unreadable =
-                    assertThrows(UnreadableQuotaRecordException.class, () -> read(value));
+                    assertThrows(UnreadableQuotaRecordException.class, () -> decode(value));
             assertEquals(KEY, unreadable.key());
             assertEquals(value.get("format"), unreadable.format());
             assertEquals(problem, unreadable.problem());
