--- a/src/test/java/org/weldcourse/quota/TeamLimitsRandomTest.java
+++ b/src/test/java/org/weldcourse/quota/TeamLimitsRandomTest.java
@@ -73,7 +73,7 @@
             lightLoad = seed % 4 >= 2;
         }
 
-        private long injectedDelay() {
+        private long injectedFault() {
             int roll = random.nextInt(200);
             if (roll == 0) {
                 return FakeNetwork.ANSWER_LOST;
@@ -109,7 +109,7 @@
             if (inCohort) {
                 joinCohort();
             }
-            cluster.network.injectFaults((from, call) -> injectedDelay());
+            cluster.network.injectFaults((from, call) -> injectedFault());
             for (int i = 0; i < EVENTS; i++) {
                 totals.events++;
                 injectEvent(random.nextInt(20));
--- a/src/test/java/org/weldcourse/quota/enforcement/BudgetDivisionTest.java
+++ b/src/test/java/org/weldcourse/quota/enforcement/BudgetDivisionTest.java
@@ -12,7 +12,7 @@
 import org.weldcourse.quota.ResourceAmount;
 import org.weldcourse.quota.enforcement.BudgetDivision.Request;
 
-/** Tests of {@link BudgetDivision}: round robin and the integer program, and of the arithmetic they rely on. */
+/** Tests of {@link BudgetDivision}, by round robin and by integer program, and of the resource arithmetic. */
 class BudgetDivisionTest {
     private final BudgetDivision solver = new IntegerProgramDivision();
 
