--- a/src/main/java/org/weldcourse/quota/ledger/QuotaEditor.java
+++ b/src/main/java/org/weldcourse/quota/ledger/QuotaEditor.java
@@ -13,7 +13,10 @@
  * not valid together, only one can then succeed.
  */
 public final class QuotaEditor {
-    /** Enough retries for the budget changes that the leader may write while an edit is in progress. */
+    /**
+     * The leader may change budgets during an edit. Such a conflict is retried, because it is no reason to fail the
+     * edit.
+     */
     private static final int RETRIES = 20;
 
     private final Store store;
