--- a/src/main/java/org/weldcourse/fleet/Autoscaler.java
+++ b/src/main/java/org/weldcourse/fleet/Autoscaler.java
@@ -21,12 +21,12 @@
     /** The time from one step to the next. */
     static final long STEP_MICROS = 1_000_000;
     /** The part of the cloud's request rate that is used at most, in the long run. */
-    private static final double CALL_RATE_SHARE = 0.8;
+    private static final double MAX_CALL_RATE_SHARE = 0.8;
 
     private final ClusterState cluster;
     private final MachineTypeCatalog types;
     private final Term term;
-    private final RateLimiter calls;
+    private final RateLimiter callLimiter;
     private final MachineInventory inventory;
     private final WarmPools warmPools;
     private final ScaleOut scaleOut;
@@ -64,7 +64,7 @@
         this.types = types;
         this.term = term;
         double callsPerSecond = settings.cloudLimits().requestsPerSecond();
-        this.calls = new RateLimiter(clock, callsPerSecond * CALL_RATE_SHARE, callsPerSecond);
+        this.callLimiter = new RateLimiter(clock, callsPerSecond * MAX_CALL_RATE_SHARE, callsPerSecond);
         HeartbeatTimeouts timeouts = new HeartbeatTimeouts(settings.workers());
         long startedMicros = clock.nowMicros();
         this.inventory = new MachineInventory(cluster, cloud, types, clock, this);
@@ -76,7 +76,7 @@
                 inventory,
                 warmPools,
                 new FailoverGracePeriod(cluster, timeouts, startedMicros),
-                calls,
+                callLimiter,
                 fencingToken,
                 clock,
                 this);
@@ -87,7 +87,7 @@
                 warmPools,
                 new ScaleInPolicy(cluster, timeouts, startedMicros),
                 operatorSettings.scaleInDelayMicros(),
-                calls,
+                callLimiter,
                 term,
                 this);
     }
@@ -131,10 +131,10 @@
             return STEP_MICROS / 2;
         }
         warmPools.dropUnused(nowMicros);
-        if (inventory.isRefreshDue(nowMicros) && calls.tryAcquire(1)) {
+        if (inventory.isRefreshDue(nowMicros) && callLimiter.tryAcquire(1)) {
             inventory.refresh(nowMicros);
         }
-        scaleOut.repeatUnanswered();
+        scaleOut.retryUnanswered();
         warmPools.measureLoad();
         costs.accrue(cluster.machines.values(), nowMicros);
         scaleIn.step(reservedMachines, nowMicros);
--- a/src/main/java/org/weldcourse/fleet/CapacityDemand.java
+++ b/src/main/java/org/weldcourse/fleet/CapacityDemand.java
@@ -37,7 +37,7 @@
     }
 
     /** How many more tasks of the job a zone may hold, with so many in each already. */
-    int leftInZone(String zone, Map<String, Integer> taken) {
+    int remainingInZone(String zone, Map<String, Integer> taken) {
         return job.maxTasksPerZone() - taken.getOrDefault(zone, 0);
     }
 }
--- a/src/main/java/org/weldcourse/fleet/CloudClient.java
+++ b/src/main/java/org/weldcourse/fleet/CloudClient.java
@@ -37,7 +37,7 @@
         RATE_LIMITED,
         /** Any other 503, or never sent: not carried out, in an outage or while this node is cut off. */
         UNAVAILABLE,
-        /** No answer in time: carried out, or not, or carried out later. */
+        /** No response in time: carried out, or not, or carried out later. */
         UNKNOWN,
         /** 400 or a status that the protocol does not name: not carried out. */
         INVALID;
@@ -52,7 +52,7 @@
      * The machine types on offer.
      *
      * @param types empty unless the outcome is {@link Outcome#OK}
-     * @param body the answer as it came, to be kept on record
+     * @param body the response as it came, to be kept on record
      */
     public record MachineTypes(Outcome outcome, List<MachineType> types, Map<String, Object> body) {}
 
@@ -74,10 +74,10 @@
     public record ListedMachine(String name, Offering offering, boolean starting, boolean failed, long ageMicros) {}
 
     /** Asks for the machine types with their current prices. */
-    public void machineTypes(Consumer<MachineTypes> then) {
-        send("GET", CloudCodec.MACHINE_TYPES_PATH, null, answer -> {
-            List<MachineType> types = answer.ok() ? CloudCodec.machineTypes(answer.body()) : List.of();
-            then.accept(new MachineTypes(CloudCodec.outcome(answer), types, answer.body()));
+    public void machineTypes(Consumer<MachineTypes> callback) {
+        send("GET", CloudCodec.MACHINE_TYPES_PATH, null, response -> {
+            List<MachineType> types = response.ok() ? CloudCodec.machineTypes(response.body()) : List.of();
+            callback.accept(new MachineTypes(CloudCodec.outcome(response), types, response.body()));
         });
     }
 
@@ -85,48 +85,48 @@
      * Launches up to {@code count} machines ({@value #MAX_MACHINES_PER_LAUNCH} at most). The request is idempotent:
      * sent again under the same id it launches nothing more, so that the id must never be used for another request.
      */
-    public void launch(String requestId, Offering offering, int count, Consumer<LaunchResult> then) {
+    public void launch(String requestId, Offering offering, int count, Consumer<LaunchResult> callback) {
         send(
                 "POST",
                 CloudCodec.LAUNCH_PATH,
                 CloudCodec.launchRequest(requestId, offering, count),
-                answer -> then.accept(
-                        new LaunchResult(CloudCodec.outcome(answer), CloudCodec.launchedMachines(answer.body()))));
+                response -> callback.accept(
+                        new LaunchResult(CloudCodec.outcome(response), CloudCodec.launchedMachines(response.body()))));
     }
 
     /**
      * Deletes machines ({@value #MAX_MACHINES_PER_DELETE} at most). Only {@link Outcome#OK} shows that they and all
      * that ran on them are gone.
      */
-    public void delete(List<String> machines, Consumer<Outcome> then) {
+    public void delete(List<String> machines, Consumer<Outcome> callback) {
         send(
                 "POST",
                 CloudCodec.DELETE_PATH,
                 CloudCodec.deleteRequest(machines),
-                answer -> then.accept(CloudCodec.outcome(answer)));
+                response -> callback.accept(CloudCodec.outcome(response)));
     }
 
     /** Lists all machines, page by page; the first page that fails ends the list with its outcome. */
-    public void list(Consumer<MachineList> then) {
-        page(null, new ArrayList<>(), then);
+    public void list(Consumer<MachineList> callback) {
+        listPage(null, new ArrayList<>(), callback);
     }
 
-    private void page(String after, List<ListedMachine> found, Consumer<MachineList> then) {
-        send("GET", CloudCodec.listPath(after), null, answer -> {
-            if (!answer.ok()) {
-                then.accept(new MachineList(CloudCodec.outcome(answer), List.of()));
+    private void listPage(String after, List<ListedMachine> machines, Consumer<MachineList> callback) {
+        send("GET", CloudCodec.listPath(after), null, response -> {
+            if (!response.ok()) {
+                callback.accept(new MachineList(CloudCodec.outcome(response), List.of()));
                 return;
             }
-            found.addAll(CloudCodec.listedMachines(answer.body()));
-            if (CloudCodec.hasNextPage(answer.body()) && !found.isEmpty()) {
-                page(found.get(found.size() - 1).name(), found, then);
+            machines.addAll(CloudCodec.listedMachines(response.body()));
+            if (CloudCodec.hasNextPage(response.body()) && !machines.isEmpty()) {
+                listPage(machines.get(machines.size() - 1).name(), machines, callback);
             } else {
-                then.accept(new MachineList(Outcome.OK, found));
+                callback.accept(new MachineList(Outcome.OK, machines));
             }
         });
     }
 
-    private void send(String method, String path, Map<String, Object> body, Caller.Done done) {
-        caller.call(new Caller.Call(address, method, path, body, TIMEOUT_MICROS), done);
+    private void send(String method, String path, Map<String, Object> body, Caller.Done callback) {
+        caller.call(new Caller.Call(address, method, path, body, TIMEOUT_MICROS), callback);
     }
 }
--- a/src/main/java/org/weldcourse/fleet/CloudCodec.java
+++ b/src/main/java/org/weldcourse/fleet/CloudCodec.java
@@ -12,7 +12,7 @@
  * The cloud API's wire, mapped once: its paths, and its JSON names for the terms used in code ({@code hire}: request
  * id, {@code forge}: machine, {@code rig}: machine type, {@code yard}: zone, {@code loaners}: spot, {@code heat}:
  * state). Amounts come in seconds and GB, prices per hour; the record of machine types in the state service has the
- * form of the cloud's answer.
+ * form of the cloud's response.
  */
 final class CloudCodec {
     static final String MACHINE_TYPES_PATH = "/machine_types";
@@ -46,12 +46,12 @@
         return Json.of("forges", machines);
     }
 
-    static Outcome outcome(Caller.Answer answer) {
-        return switch (answer.status()) {
+    static Outcome outcome(Caller.Answer response) {
+        return switch (response.status()) {
             case 200 -> Outcome.OK;
             case 429 -> Outcome.RATE_LIMITED;
             case 503 ->
-                "no capacity".equals(Json.text(answer.body(), "error")) ? Outcome.NO_CAPACITY : Outcome.UNAVAILABLE;
+                "no capacity".equals(Json.text(response.body(), "error")) ? Outcome.NO_CAPACITY : Outcome.UNAVAILABLE;
             case -1 -> Outcome.UNAVAILABLE;
             case 0 -> Outcome.UNKNOWN;
             default -> Outcome.INVALID;
@@ -94,7 +94,7 @@
     }
 
     /**
-     * The machine types in an answer of the cloud, or in the record of one; entries that make no sense are left out.
+     * The machine types in an response of the cloud, or in the record of one; entries that make no sense are left out.
      */
     static List<MachineType> machineTypes(Map<String, Object> body) {
         List<MachineType> types = new ArrayList<>();
--- a/src/main/java/org/weldcourse/fleet/FailoverGracePeriod.java
+++ b/src/main/java/org/weldcourse/fleet/FailoverGracePeriod.java
@@ -10,7 +10,7 @@
  */
 final class FailoverGracePeriod {
     /** Machines that died with the old leader are never heard of: a new one does not wait for the last of them. */
-    private static final double MAX_UNHEARD_SHARE = 0.1;
+    private static final double MAX_SILENT_SHARE = 0.1;
 
     private final ClusterState cluster;
     private final HeartbeatTimeouts timeouts;
@@ -24,24 +24,24 @@
     }
 
     /**
-     * Whether too many machines are still unheard of.
+     * Whether too many machines are still silent of.
      *
      * @param hasListed whether the cloud's list has come since the election; before, not all machines are known
      */
-    boolean lasts(boolean hasListed, long nowMicros) {
+    boolean isActive(boolean hasListed, long nowMicros) {
         if (nowMicros - startedMicros > timeouts.failoverMicros()) {
             return false;
         }
         int heard = 0;
-        int unheard = 0;
+        int silent = 0;
         for (Machine machine : cluster.machines.values()) {
             heard += machine.isUp() ? 1 : 0;
-            unheard += machine.isUp() || isBooting(machine, nowMicros) ? 0 : 1;
+            silent += machine.isUp() || isBooting(machine, nowMicros) ? 0 : 1;
         }
-        return !hasListed || unheard > MAX_UNHEARD_SHARE * (heard + unheard);
+        return !hasListed || silent > MAX_SILENT_SHARE * (heard + silent);
     }
 
     private static boolean isBooting(Machine machine, long nowMicros) {
-        return machine.starting && machine.bookings.isEmpty() && !BootTimeouts.isOverdue(machine, nowMicros);
+        return machine.starting && machine.bookings.isEmpty() && !BootTimeouts.isBootOverdue(machine, nowMicros);
     }
 }
--- a/src/main/java/org/weldcourse/fleet/HeartbeatTimeouts.java
+++ b/src/main/java/org/weldcourse/fleet/HeartbeatTimeouts.java
@@ -46,8 +46,8 @@
      * A machine is lost when it is silent for longer. In doubt whether the fault is on this side it is given twice the
      * time.
      */
-    double lostMicros(boolean probablyDead, boolean faultHere) {
-        return (faultHere ? 2 : 1) * (probablyDead ? PROBABLY_DEAD_SHARE : 1) * workers.leaseMicros();
+    double lostMicros(boolean probablyDead, boolean possibleLocalFault) {
+        return (possibleLocalFault ? 2 : 1) * (probablyDead ? PROBABLY_DEAD_SHARE : 1) * workers.leaseMicros();
     }
 
     /** After a failover, the time in which workers find the new leader and send a heartbeat under its fencing token. */
--- a/src/main/java/org/weldcourse/fleet/HostSupply.java
+++ b/src/main/java/org/weldcourse/fleet/HostSupply.java
@@ -11,12 +11,12 @@
     private final HostCapacity host;
     private double slotCpus;
     private double usedCpuMicros;
-    private double heldCpus;
+    private double serviceCpus;
 
     /** All that the host has to give. Only one that is booting has slots: on others the admission found none. */
     HostSupply(HostCapacity host) {
         this.host = host;
-        this.heldCpus = host.serviceCpus();
+        this.serviceCpus = host.serviceCpus();
         this.slotCpus = host.booting() ? host.type().cpus() : 0;
         this.usedCpuMicros = host.remainingCpuMicros();
     }
@@ -26,7 +26,7 @@
     }
 
     /** How many tasks of a gang or service it has a place for. */
-    int slots(CapacityDemand demand) {
+    int availableSlots(CapacityDemand demand) {
         if (slotCpus <= 0 || !allows(demand.job())) {
             return 0;
         }
@@ -38,18 +38,18 @@
     /**
      * Takes places for tasks of a gang or service, no more than its zone may hold of them.
      *
-     * @param takenByZone how many tasks of the job each zone holds; what is taken is added
+     * @param tasksByZone how many tasks of the job each zone holds; what is taken is added
      * @return how many places were taken
      */
-    int takeSlots(CapacityDemand demand, int wanted, Map<String, Integer> takenByZone) {
-        int taken = Math.min(Math.min(wanted, slots(demand)), demand.leftInZone(zone(), takenByZone));
+    int assignSlots(CapacityDemand demand, int wanted, Map<String, Integer> tasksByZone) {
+        int taken = Math.min(Math.min(wanted, availableSlots(demand)), demand.remainingInZone(zone(), tasksByZone));
         if (taken <= 0) {
             return 0;
         }
-        takenByZone.merge(zone(), taken, Integer::sum);
+        tasksByZone.merge(zone(), taken, Integer::sum);
         slotCpus -= taken * demand.job().cpus();
         if (demand.job().isService()) {
-            heldCpus += taken * demand.job().cpus();
+            serviceCpus += taken * demand.job().cpus();
         } else {
             usedCpuMicros += (double) taken * demand.job().cpus() * demand.runMicros();
         }
@@ -57,26 +57,27 @@
     }
 
     /** The work of an array's tasks that it can do by then, in CPU-microseconds. */
-    double work(CapacityDemand demand, long dueMicros) {
+    double availableWork(CapacityDemand demand, long deadlineMicros) {
         // A new machine has no image yet; and tasks can't be split: a window of two and a half runs is worth two.
         long fetchMicros = host.booting() ? demand.fetchMicros(host.type()) : 0;
-        long runs = (dueMicros - host.availableAtMicros() - fetchMicros) / (demand.runMicros() + demand.gapMicros());
+        long runs =
+                (deadlineMicros - host.availableAtMicros() - fetchMicros) / (demand.runMicros() + demand.gapMicros());
         if (!allows(demand.job()) || runs <= 0) {
             return 0;
         }
-        double whole = EFFICIENCY
-                * Math.max(0, 1 - heldCpus / host.type().cpus())
+        double totalCpuMicros = EFFICIENCY
+                * Math.max(0, 1 - serviceCpus / host.type().cpus())
                 * (1 - host.higherPriorityShares()[demand.job().priority().ordinal()])
                 * host.type().tasksThatFit(demand.job())
                 * demand.job().cpus()
                 * runs
                 * demand.runMicros();
-        return Math.max(0, whole - usedCpuMicros);
+        return Math.max(0, totalCpuMicros - usedCpuMicros);
     }
 
     /** Takes an array's work on, as far as it can be done by then; returns how much, in CPU-microseconds. */
-    double takeWork(CapacityDemand demand, double wanted, long dueMicros) {
-        double taken = Math.min(wanted, work(demand, dueMicros));
+    double assignWork(CapacityDemand demand, double wanted, long deadlineMicros) {
+        double taken = Math.min(wanted, availableWork(demand, deadlineMicros));
         usedCpuMicros += taken;
         return taken;
     }
--- a/src/main/java/org/weldcourse/fleet/LaunchCandidates.java
+++ b/src/main/java/org/weldcourse/fleet/LaunchCandidates.java
@@ -12,9 +12,9 @@
 /** The offerings that machines could be launched of for a demand, and what its work costs on each. */
 final class LaunchCandidates {
     /** How long a launched machine is expected to stay: boot time, which is charged too, is weighed against it. */
-    private static final double STAY_MICROS = 180e6;
+    private static final double EXPECTED_LIFETIME_MICROS = 180e6;
 
-    private static final double[] NOTHING_TAKEN = new double[JobSpec.Priority.values().length];
+    private static final double[] NO_HIGHER_PRIORITY_SHARES = new double[JobSpec.Priority.values().length];
 
     private final List<MachineType> types;
     private final Set<Offering> unavailable;
@@ -29,7 +29,7 @@
 
     /** An offering, with the price per hour of a CPU that the demand can use of it, boot time included. */
     record Candidate(Offering offering, MachineType type, double cost) {
-        private static final Comparator<Candidate> CHEAPEST_FIRST =
+        private static final Comparator<Candidate> BY_COST =
                 Comparator.comparingDouble(Candidate::cost).thenComparing(candidate -> candidate.offering.toString());
     }
 
@@ -42,27 +42,27 @@
 
     /** The cheapest candidate that meets a condition. */
     Optional<Candidate> cheapest(CapacityDemand demand, Predicate<Candidate> condition) {
-        return of(demand).stream().filter(condition).min(Candidate.CHEAPEST_FIRST);
+        return candidatesFor(demand).stream().filter(condition).min(Candidate.BY_COST);
     }
 
     /** The cheapest candidate that has done a task by then. */
-    Optional<Candidate> cheapest(CapacityDemand demand, long dueMicros) {
-        return cheapest(demand, candidate -> nowMicros + demand.firstRunMicros(candidate.type) <= dueMicros);
+    Optional<Candidate> cheapest(CapacityDemand demand, long deadlineMicros) {
+        return cheapest(demand, candidate -> nowMicros + demand.firstRunMicros(candidate.type) <= deadlineMicros);
     }
 
     /** When a new machine could have done a task at the earliest: what is due before that is late anyway. */
-    long soonestMicros(CapacityDemand demand) {
-        Candidate quickest = null;
-        for (Candidate candidate : of(demand)) {
-            if (quickest == null || demand.firstRunMicros(candidate.type) < demand.firstRunMicros(quickest.type)) {
-                quickest = candidate;
+    long earliestFinishMicros(CapacityDemand demand) {
+        Candidate fastest = null;
+        for (Candidate candidate : candidatesFor(demand)) {
+            if (fastest == null || demand.firstRunMicros(candidate.type) < demand.firstRunMicros(fastest.type)) {
+                fastest = candidate;
             }
         }
-        return quickest == null
+        return fastest == null
                 ? nowMicros
                 : nowMicros
-                        + demand.firstRunMicros(quickest.type)
-                        + quickest.type.bootMicros() / 4
+                        + demand.firstRunMicros(fastest.type)
+                        + fastest.type.bootMicros() / 4
                         + demand.runMicros() / 5;
     }
 
@@ -76,10 +76,10 @@
                 nowMicros + candidate.type.bootMicros(),
                 0,
                 0,
-                NOTHING_TAKEN));
+                NO_HIGHER_PRIORITY_SHARES));
     }
 
-    private List<Candidate> of(CapacityDemand demand) {
+    private List<Candidate> candidatesFor(CapacityDemand demand) {
         JobSpec job = demand.job();
         List<Candidate> candidates = new ArrayList<>();
         for (MachineType type : types) {
@@ -88,7 +88,7 @@
             }
             int slots = Math.max(1, type.tasksThatFit(job));
             int usedSlots = job.isGang() ? Math.min(slots, demand.tasks()) : slots;
-            double boot = 1 + type.bootMicros() / STAY_MICROS;
+            double boot = 1 + type.bootMicros() / EXPECTED_LIFETIME_MICROS;
             for (String zone : type.zones()) {
                 for (boolean spot : new boolean[] {true, false}) {
                     Offering offering = new Offering(type.name(), zone, spot);
--- a/src/main/java/org/weldcourse/fleet/MachineInventory.java
+++ b/src/main/java/org/weldcourse/fleet/MachineInventory.java
@@ -79,29 +79,29 @@
         }
         long launchedMicros = nowMicros - listed.ageMicros();
         Machine machine = cluster.getOrAddMachine(listed.name(), launchedMicros);
-        describe(machine, listed.offering());
+        setOffering(machine, listed.offering());
         machine.rentedMicros = Math.min(machine.rentedMicros, launchedMicros);
         machine.reportedFailed |= listed.failed();
         machine.starting = listed.starting();
     }
 
     /** Takes note of machines that were launched now. */
-    void launched(List<String> machines, Offering offering, long nowMicros) {
+    void recordLaunched(List<String> machines, Offering offering, long nowMicros) {
         for (String name : machines) {
             Machine machine = cluster.getOrAddMachine(name, nowMicros);
-            describe(machine, offering);
+            setOffering(machine, offering);
             machine.starting = true;
         }
     }
 
-    private void describe(Machine machine, Offering offering) {
+    private void setOffering(Machine machine, Offering offering) {
         machine.type = types.byName(offering.type()).orElse(null);
         machine.zone = offering.zone();
         machine.spot = offering.spot();
     }
 
     /** Takes note of machines that the cloud deleted: nothing runs on them any more. */
-    void deleted(List<String> machines) {
+    void recordDeleted(List<String> machines) {
         for (String name : machines) {
             Machine machine = cluster.machines.get(name);
             if (machine != null) {
--- a/src/main/java/org/weldcourse/fleet/MachineTypeCatalog.java
+++ b/src/main/java/org/weldcourse/fleet/MachineTypeCatalog.java
@@ -76,18 +76,18 @@
         });
     }
 
-    private void readRecord(Runnable then) {
+    private void readRecord(Runnable callback) {
         store.get(KEY, read -> {
             if (read.entry() != null) {
                 types = CloudCodec.machineTypes(read.entry().value());
             }
-            then.run();
+            callback.run();
         });
     }
 
     private void refreshFromCloud() {
-        cloud.machineTypes(answer -> {
-            if (answer.types().isEmpty()) {
+        cloud.machineTypes(response -> {
+            if (response.types().isEmpty()) {
                 if (types.isEmpty() && leads.getAsBoolean()) {
                     readRecord(() -> refreshAgainIn(RETRY_MICROS));
                 } else {
@@ -95,8 +95,8 @@
                 }
                 return;
             }
-            types = answer.types();
-            writeRecord(answer.body());
+            types = response.types();
+            writeRecord(response.body());
             refreshAgainIn(REFRESH_MICROS);
         });
     }
--- a/src/main/java/org/weldcourse/fleet/ScaleIn.java
+++ b/src/main/java/org/weldcourse/fleet/ScaleIn.java
@@ -22,7 +22,7 @@
     private final WarmPools warmPools;
     private final ScaleInPolicy policy;
     private final long spotIdleMicros;
-    private final RateLimiter calls;
+    private final RateLimiter callLimiter;
     private final Autoscaler.Term term;
     private final ScheduledTask autoscaler;
     private boolean requestInFlight;
@@ -35,7 +35,7 @@
             WarmPools warmPools,
             ScaleInPolicy policy,
             long spotIdleMicros,
-            RateLimiter calls,
+            RateLimiter callLimiter,
             Autoscaler.Term term,
             ScheduledTask autoscaler) {
         this.cluster = cluster;
@@ -44,7 +44,7 @@
         this.warmPools = warmPools;
         this.policy = policy;
         this.spotIdleMicros = spotIdleMicros;
-        this.calls = calls;
+        this.callLimiter = callLimiter;
         this.term = term;
         this.autoscaler = autoscaler;
     }
@@ -54,8 +54,8 @@
         if (requestInFlight) {
             return;
         }
-        List<String> names = choose(reserved, nowMicros);
-        if (names.isEmpty() || !calls.tryAcquire(1)) {
+        List<String> names = selectMachines(reserved, nowMicros);
+        if (names.isEmpty() || !callLimiter.tryAcquire(1)) {
             return;
         }
         requestInFlight = true;
@@ -65,22 +65,22 @@
             if (!autoscaler.isRunning() || !outcome.ok()) {
                 return;
             }
-            inventory.deleted(names);
+            inventory.recordDeleted(names);
             term.machinesDeleted();
             autoscaler.wakeIn(0);
         });
     }
 
-    private List<String> choose(Set<String> reserved, long nowMicros) {
-        policy.survey(nowMicros);
+    private List<String> selectMachines(Set<String> reserved, long nowMicros) {
+        policy.assessCluster(nowMicros);
         WarmPools.Surplus surplus = warmPools.surplus(nowMicros);
-        List<Machine> dearestFirst = new ArrayList<>(cluster.machines.values());
-        dearestFirst.sort(
+        List<Machine> mostExpensiveFirst = new ArrayList<>(cluster.machines.values());
+        mostExpensiveFirst.sort(
                 Comparator.comparingDouble(ScaleIn::pricePerCpuHour).reversed().thenComparing(machine -> machine.name));
         List<String> names = new ArrayList<>();
-        for (Machine machine : dearestFirst) {
+        for (Machine machine : mostExpensiveFirst) {
             Optional<ScaleInReason> reason = policy.reason(machine, nowMicros);
-            if (reason.isEmpty() && isIdle(machine, reserved, nowMicros) && surplus.take(machine)) {
+            if (reason.isEmpty() && isIdle(machine, reserved, nowMicros) && surplus.tryRemove(machine)) {
                 reason = Optional.of(ScaleInReason.IDLE);
             }
             if (reason.isPresent() && names.size() < CloudClient.MAX_MACHINES_PER_DELETE) {
@@ -109,6 +109,6 @@
                 && machine.bookings.isEmpty()
                 && machine.unbookedTasks.isEmpty()
                 && nowMicros - machine.idleSinceMicros >= idleMicros
-                && nowMicros - machine.rentedMicros >= BootTimeouts.MIN_CHARGED_MICROS;
+                && nowMicros - machine.rentedMicros >= BootTimeouts.MIN_BILLED_MICROS;
     }
 }
--- a/src/main/java/org/weldcourse/fleet/ScaleInPolicy.java
+++ b/src/main/java/org/weldcourse/fleet/ScaleInPolicy.java
@@ -13,13 +13,13 @@
  */
 final class ScaleInPolicy {
     private static final long RECLAIM_MARGIN_MICROS = 1_000_000;
-    private static final int FAILED_JOBS_TO_BLAME_MACHINE = 2;
+    private static final int FAULTY_MACHINE_FAILED_JOBS = 2;
 
     private final ClusterState cluster;
     private final HeartbeatTimeouts timeouts;
     private final long startedMicros;
-    private boolean hearsMost = true;
-    private boolean hearsMostInherited = true;
+    private boolean mostMachinesReachable = true;
+    private boolean mostInheritedMachinesReported = true;
     private Set<String> silentZones = Set.of();
 
     /** The policy of a leader that was elected at this time. */
@@ -30,9 +30,9 @@
     }
 
     /** Looks at the machines as a whole, before any single one is judged. */
-    void survey(long nowMicros) {
-        hearsMost = hearsMost(nowMicros);
-        hearsMostInherited = hearsMostInherited();
+    void assessCluster(long nowMicros) {
+        mostMachinesReachable = mostMachinesReachable(nowMicros);
+        mostInheritedMachinesReported = mostInheritedMachinesReported();
         silentZones = silentZones(nowMicros);
     }
 
@@ -44,7 +44,7 @@
         if (machine.reportedFailed) {
             return Optional.of(ScaleInReason.FAILED);
         }
-        if (machine.failedJobs.size() >= FAILED_JOBS_TO_BLAME_MACHINE && machine.successesSinceError == 0) {
+        if (machine.failedJobs.size() >= FAULTY_MACHINE_FAILED_JOBS && machine.successesSinceError == 0) {
             return Optional.of(ScaleInReason.FAULTY);
         }
         return machine.isUp() ? reasonOnceUp(machine, nowMicros) : reasonBeforeUp(machine, nowMicros);
@@ -54,14 +54,14 @@
         long waitedMicros = nowMicros - startedMicros;
         if (!machine.bookings.isEmpty() || machine.type == null) {
             // Known only from an earlier leader's records, and not heard of since. One that holds replicas is given the
-            // time in which the others found the new leader: its lease will end unheard, and its deletion lets them run
+            // time in which the others found the new leader: its lease will end silent, and its deletion lets them run
             // elsewhere.
-            boolean probablyDead = holdsReplicas(machine) && hearsMostInherited;
+            boolean probablyDead = holdsReplicas(machine) && mostInheritedMachinesReported;
             return waitedMicros > timeouts.inheritedLostMicros(probablyDead)
                     ? Optional.of(ScaleInReason.LOST)
                     : Optional.empty();
         }
-        return BootTimeouts.isHopeless(machine, nowMicros) && waitedMicros > timeouts.leaseMicros()
+        return BootTimeouts.isBootTimedOut(machine, nowMicros) && waitedMicros > timeouts.leaseMicros()
                 ? Optional.of(ScaleInReason.NEVER_UP)
                 : Optional.empty();
     }
@@ -78,10 +78,10 @@
                 return Optional.of(ScaleInReason.RECLAIM_ANNOUNCED);
             }
         }
-        if (hearsMost && machine.isCordonedFor(timeouts.leaseMicros(), nowMicros)) {
+        if (mostMachinesReachable && machine.isCordonedFor(timeouts.leaseMicros(), nowMicros)) {
             return Optional.of(ScaleInReason.UNREACHABLE);
         }
-        return silentMicros > timeouts.lostMicros(isProbablyDead(machine), !hearsMost)
+        return silentMicros > timeouts.lostMicros(isProbablyDead(machine), !mostMachinesReachable)
                 ? Optional.of(ScaleInReason.LOST)
                 : Optional.empty();
     }
@@ -105,7 +105,7 @@
      * When most machines fall silent or can't be reached together, the fault is on this side: their tasks may well be
      * running.
      */
-    private boolean hearsMost(long nowMicros) {
+    private boolean mostMachinesReachable(long nowMicros) {
         int up = 0;
         int heard = 0;
         for (Machine machine : cluster.machines.values()) {
@@ -119,7 +119,7 @@
         return heard * 2 >= up;
     }
 
-    private boolean hearsMostInherited() {
+    private boolean mostInheritedMachinesReported() {
         int heard = 0;
         int booked = 0;
         for (Machine machine : cluster.machines.values()) {
@@ -133,14 +133,14 @@
 
     /** Zones of whose on-demand machines most are silent: these don't die together. */
     private Set<String> silentZones(long nowMicros) {
-        Map<String, Integer> heardLessSilent = new HashMap<>();
+        Map<String, Integer> respondingMinusSilent = new HashMap<>();
         for (Machine machine : cluster.machines.values()) {
             if (machine.isUp() && !machine.spot && !machine.deleting) {
                 boolean silent = nowMicros - machine.lastHeartbeatMicros > timeouts.zoneOutageMicros();
-                heardLessSilent.merge(String.valueOf(machine.zone), silent ? -1 : 1, Integer::sum);
+                respondingMinusSilent.merge(String.valueOf(machine.zone), silent ? -1 : 1, Integer::sum);
             }
         }
-        heardLessSilent.values().removeIf(difference -> difference >= 0);
-        return heardLessSilent.keySet();
+        respondingMinusSilent.values().removeIf(difference -> difference >= 0);
+        return respondingMinusSilent.keySet();
     }
 }
--- a/src/main/java/org/weldcourse/fleet/ScaleOut.java
+++ b/src/main/java/org/weldcourse/fleet/ScaleOut.java
@@ -26,9 +26,9 @@
     /** And for so long after any other refusal. */
     private static final long REFUSED_BACKOFF_MICROS = 2_000_000;
     /** The next plan follows an answer so soon. */
-    private static final long NEXT_PLAN_MICROS = 50_000;
+    private static final long NEXT_PLAN_DELAY_MICROS = 50_000;
     /** A machine on its way is expected no sooner than this, even when it is late. */
-    private static final long MIN_BOOT_LEFT_MICROS = 5_000_000;
+    private static final long MIN_REMAINING_BOOT_MICROS = 5_000_000;
 
     private static final int MAX_MACHINES_PER_PLAN = 200;
 
@@ -37,8 +37,8 @@
     private final MachineTypeCatalog types;
     private final MachineInventory inventory;
     private final WarmPools warmPools;
-    private final FailoverGracePeriod failover;
-    private final RateLimiter calls;
+    private final FailoverGracePeriod failoverGracePeriod;
+    private final RateLimiter callLimiter;
     private final long fencingToken;
     private final Clock clock;
     private final ScheduledTask autoscaler;
@@ -55,8 +55,8 @@
             MachineTypeCatalog types,
             MachineInventory inventory,
             WarmPools warmPools,
-            FailoverGracePeriod failover,
-            RateLimiter calls,
+            FailoverGracePeriod failoverGracePeriod,
+            RateLimiter callLimiter,
             long fencingToken,
             Clock clock,
             ScheduledTask autoscaler) {
@@ -65,8 +65,8 @@
         this.types = types;
         this.inventory = inventory;
         this.warmPools = warmPools;
-        this.failover = failover;
-        this.calls = calls;
+        this.failoverGracePeriod = failoverGracePeriod;
+        this.callLimiter = callLimiter;
         this.fencingToken = fencingToken;
         this.clock = clock;
         this.autoscaler = autoscaler;
@@ -75,8 +75,8 @@
     /**
      * Sends requests again that got no answer: they may have been carried out, and the same id launches nothing twice.
      */
-    void repeatUnanswered() {
-        while (!unanswered.isEmpty() && calls.tryAcquire(1)) {
+    void retryUnanswered() {
+        while (!unanswered.isEmpty() && callLimiter.tryAcquire(1)) {
             launch(unanswered.poll());
         }
     }
@@ -85,7 +85,7 @@
      * Launches what the demand and the warm pools are short of, unless the last plan's requests are still in flight.
      */
     void step(List<CapacityDemand> pending, long nowMicros) {
-        if (requestsInFlight > 0 || failover.lasts(inventory.hasListed(), nowMicros)) {
+        if (requestsInFlight > 0 || failoverGracePeriod.isActive(inventory.hasListed(), nowMicros)) {
             return;
         }
         backoffUntilMicros.values().removeIf(until -> until <= nowMicros);
@@ -94,7 +94,7 @@
         List<ScaleOutRequest> plan = ScaleOutPlanner.plan(
                 demand, hosts(nowMicros), types.known(), backoffUntilMicros.keySet(), MAX_MACHINES_PER_PLAN, nowMicros);
         for (ScaleOutRequest planned : plan) {
-            if (calls.tryAcquire(1)) {
+            if (callLimiter.tryAcquire(1)) {
                 launch(new LaunchRequest(
                         nextRequestId(),
                         planned.offering(),
@@ -117,17 +117,17 @@
                 return;
             }
             switch (launch.outcome()) {
-                case OK -> launched(request, launch.machines());
+                case OK -> onLaunched(request, launch.machines());
                 case NO_CAPACITY -> backOff(request.offering, NO_CAPACITY_BACKOFF_MICROS);
                 case UNKNOWN -> unanswered.add(request);
                 case RATE_LIMITED, UNAVAILABLE, INVALID -> backOff(request.offering, REFUSED_BACKOFF_MICROS);
             }
-            autoscaler.wakeIn(NEXT_PLAN_MICROS);
+            autoscaler.wakeIn(NEXT_PLAN_DELAY_MICROS);
         });
     }
 
-    private void launched(LaunchRequest request, List<String> machines) {
-        inventory.launched(machines, request.offering, clock.nowMicros());
+    private void onLaunched(LaunchRequest request, List<String> machines) {
+        inventory.recordLaunched(machines, request.offering, clock.nowMicros());
         LOG.info(
                 "scale out: {} of {} machines launched, {}",
                 machines.size(),
@@ -145,7 +145,7 @@
     private List<HostCapacity> hosts(long nowMicros) {
         List<HostCapacity> hosts = new ArrayList<>();
         for (Machine machine : cluster.machines.values()) {
-            boolean booting = !machine.isUp() && !BootTimeouts.isOverdue(machine, nowMicros);
+            boolean booting = !machine.isUp() && !BootTimeouts.isBootOverdue(machine, nowMicros);
             if (machine.type != null && !machine.deleting && (booting || machine.isSchedulable())) {
                 hosts.add(host(machine, booting, nowMicros));
             }
@@ -155,15 +155,15 @@
 
     private HostCapacity host(Machine machine, boolean booting, long nowMicros) {
         long availableAtMicros = booting
-                ? Math.max(nowMicros + MIN_BOOT_LEFT_MICROS, machine.rentedMicros + machine.type.bootMicros())
+                ? Math.max(nowMicros + MIN_REMAINING_BOOT_MICROS, machine.rentedMicros + machine.type.bootMicros())
                 : nowMicros;
-        double busyCpuMicros = 0;
-        double heldCpus = 0;
+        double remainingCpuMicros = 0;
+        double serviceCpus = 0;
         for (Booking booking : machine.bookings.values()) {
             if (booking.job().spec().isService()) {
-                heldCpus += booking.job().spec().cpus();
+                serviceCpus += booking.job().spec().cpus();
             } else {
-                busyCpuMicros += cluster.runTimes.remainingMicros(booking, nowMicros)
+                remainingCpuMicros += cluster.runTimes.remainingMicros(booking, nowMicros)
                         * booking.job().spec().cpus();
             }
         }
@@ -173,8 +173,8 @@
                 machine.spot,
                 booting,
                 availableAtMicros,
-                busyCpuMicros,
-                heldCpus,
-                warmPools.takenShares(machine));
+                remainingCpuMicros,
+                serviceCpus,
+                warmPools.higherPriorityShares(machine));
     }
 }
--- a/src/main/java/org/weldcourse/fleet/ScaleOutPlanner.java
+++ b/src/main/java/org/weldcourse/fleet/ScaleOutPlanner.java
@@ -16,14 +16,14 @@
  */
 public final class ScaleOutPlanner {
     /** A shortfall below this part of a new machine's work is not worth a machine. */
-    private static final double WORTH_A_MACHINE = 0.35;
+    private static final double MIN_NEW_MACHINE_UTILIZATION = 0.35;
 
     private final LaunchCandidates candidates;
     private final int maxMachines;
     private final List<HostSupply> supplies = new ArrayList<>();
     private final List<Offering> launches = new ArrayList<>();
     /** By class, the work of jobs so far that was too little for a machine of its own, in CPU-microseconds. */
-    private final Map<String, Double> carriedWork = new HashMap<>();
+    private final Map<String, Double> deferredWork = new HashMap<>();
 
     private ScaleOutPlanner(List<HostCapacity> hosts, LaunchCandidates candidates, int maxMachines) {
         this.candidates = candidates;
@@ -94,7 +94,7 @@
         } else {
             // What is on its way suffices, but it is spoken for now: the next gang must not count on it too.
             int wanted = demand.tasks() - demand.freeSlotsByZone().getOrDefault(best, 0);
-            takeSlots(demand, best::equals, wanted, new HashMap<>(demand.tasksByZone()));
+            assignSlots(demand, best::equals, wanted, new HashMap<>(demand.tasksByZone()));
         }
     }
 
@@ -106,7 +106,7 @@
         int missing = demand.tasks() - demand.freeSlotsByZone().getOrDefault(zone, 0);
         for (HostSupply supply : supplies) {
             if (zone.equals(supply.zone())) {
-                missing -= supply.slots(demand);
+                missing -= supply.availableSlots(demand);
             }
         }
         if (missing <= 0) {
@@ -120,28 +120,28 @@
     }
 
     private void launchForSlots(CapacityDemand demand, Predicate<String> inZone) {
-        Map<String, Integer> takenByZone = new HashMap<>(demand.tasksByZone());
-        int left = takeSlots(demand, inZone, demand.tasks(), takenByZone);
+        Map<String, Integer> tasksByZone = new HashMap<>(demand.tasksByZone());
+        int left = assignSlots(demand, inZone, demand.tasks(), tasksByZone);
         while (left > 0 && launches.size() < maxMachines) {
             // A zone that may hold no more of a spread job would be launched in for ever.
             Optional<Candidate> cheapest = candidates.cheapest(demand, candidate -> {
                 String zone = candidate.offering().zone();
-                return inZone.test(zone) && demand.leftInZone(zone, takenByZone) > 0;
+                return inZone.test(zone) && demand.remainingInZone(zone, tasksByZone) > 0;
             });
             if (cheapest.isEmpty()) {
                 return;
             }
-            left -= launch(cheapest.get()).takeSlots(demand, left, takenByZone);
+            left -= launch(cheapest.get()).assignSlots(demand, left, tasksByZone);
         }
     }
 
     /** Takes places on machines that are on their way, and returns how many are still missing. */
-    private int takeSlots(
-            CapacityDemand demand, Predicate<String> inZone, int wanted, Map<String, Integer> takenByZone) {
+    private int assignSlots(
+            CapacityDemand demand, Predicate<String> inZone, int wanted, Map<String, Integer> tasksByZone) {
         int left = wanted;
         for (HostSupply supply : supplies) {
             if (inZone.test(supply.zone())) {
-                left -= supply.takeSlots(demand, left, takenByZone);
+                left -= supply.assignSlots(demand, left, tasksByZone);
             }
         }
         return left;
@@ -152,26 +152,26 @@
         String jobClass = demand.job().jobClass();
         double left =
                 (double) demand.tasks() * demand.runMicros() * demand.job().cpus();
-        long dueMicros = Math.max(demand.deadlineMicros(), candidates.soonestMicros(demand));
+        long deadlineMicros = Math.max(demand.deadlineMicros(), candidates.earliestFinishMicros(demand));
         for (HostSupply supply : supplies) {
-            left -= supply.takeWork(demand, left, dueMicros);
+            left -= supply.assignWork(demand, left, deadlineMicros);
         }
-        Double carried = carriedWork.remove(jobClass);
+        Double carried = deferredWork.remove(jobClass);
         left += carried == null ? 0 : carried;
         while (left > 0 && launches.size() < maxMachines) {
-            Optional<Candidate> cheapest = candidates.cheapest(demand, dueMicros);
+            Optional<Candidate> cheapest = candidates.cheapest(demand, deadlineMicros);
             if (cheapest.isEmpty()) {
                 return;
             }
-            double work = candidates.supply(cheapest.get()).work(demand, dueMicros);
+            double work = candidates.supply(cheapest.get()).availableWork(demand, deadlineMicros);
             if (work <= 0) {
                 return;
             }
-            if (left < WORTH_A_MACHINE * work && !supplies.isEmpty()) {
-                carriedWork.put(jobClass, left);
+            if (left < MIN_NEW_MACHINE_UTILIZATION * work && !supplies.isEmpty()) {
+                deferredWork.put(jobClass, left);
                 return;
             }
-            left -= launch(cheapest.get()).takeWork(demand, left, dueMicros);
+            left -= launch(cheapest.get()).assignWork(demand, left, deadlineMicros);
         }
     }
 
--- a/src/main/java/org/weldcourse/fleet/WarmPools.java
+++ b/src/main/java/org/weldcourse/fleet/WarmPools.java
@@ -87,9 +87,9 @@
             }
         }
         pools.forEach((jobClass, pool) -> {
-            double now =
+            double currentLoad =
                     Math.min(1, used.getOrDefault(jobClass, 0.0) / Math.max(1, usable.getOrDefault(jobClass, 0.0)));
-            pool.load += (now - pool.load) * Autoscaler.STEP_MICROS / LOAD_SMOOTHING_MICROS;
+            pool.load += (currentLoad - pool.load) * Autoscaler.STEP_MICROS / LOAD_SMOOTHING_MICROS;
         });
     }
 
@@ -98,7 +98,7 @@
      * take from it. Classes of the same priority and below preempt nothing, so that what they take is part of the work
      * that is planned for.
      */
-    double[] takenShares(Machine machine) {
+    double[] higherPriorityShares(Machine machine) {
         double[] shares = new double[JobSpec.Priority.values().length];
         for (Pool pool : pools.values()) {
             if (pool.canUse(machine)) {
@@ -158,7 +158,7 @@
                 || machine.deleting
                 || machine.reportedFailed
                 || machine.reclaimAtMicros != Long.MAX_VALUE
-                || !machine.isUp() && BootTimeouts.isOverdue(machine, nowMicros)
+                || !machine.isUp() && BootTimeouts.isBootOverdue(machine, nowMicros)
                 || !machine.type.fits(job)
                 || machine.spot && !job.allowsSpot()) {
             return false;
@@ -183,7 +183,7 @@
         }
 
         /** Takes the machine out of the pools that it belongs to; false when one of them can't spare it. */
-        boolean take(Machine machine) {
+        boolean tryRemove(Machine machine) {
             for (Map.Entry<String, Pool> entry : pools.entrySet()) {
                 if (canHost(machine, entry.getValue().latestJob, nowMicros)) {
                     if (machines.get(entry.getKey()) <= 0) {
--- a/src/main/java/org/weldcourse/store/RateLimiter.java
+++ b/src/main/java/org/weldcourse/store/RateLimiter.java
@@ -3,8 +3,8 @@
 import org.weldcourse.runtime.Clock;
 
 /**
- * A token bucket of permits that refills at a steady rate: background work takes permits from it, urgent work need
- * not ask but {@link #consume consumes} what it used. Not thread-safe: used on the event loop only.
+ * Token bucket rate limiter. Background work acquires permits before it runs; urgent work runs at once and
+ * {@link #consume consumes} its permits without a check. Not thread-safe; used on the event loop only.
  */
 public final class RateLimiter {
     private final Clock clock;
@@ -13,7 +13,7 @@
     private double permits;
     private long refilledMicros;
 
-    /** A full bucket of {@code capacity} permits (at least 1), refilled at {@code permitsPerSecond}. */
+    /** Creates a full bucket of {@code capacity} permits (at least 1), refilled at {@code permitsPerSecond}. */
     public RateLimiter(Clock clock, double permitsPerSecond, double capacity) {
         this.clock = clock;
         this.permitsPerSecond = permitsPerSecond;
@@ -23,8 +23,8 @@
     }
 
     /**
-     * Takes permits if there are enough; a request for more than the capacity needs a full bucket, so that it is not
-     * refused for ever.
+     * Acquires permits if enough are available. A request for more than the capacity succeeds when the bucket is full;
+     * otherwise it could never succeed.
      */
     public boolean tryAcquire(int requested) {
         refill();
@@ -35,7 +35,7 @@
         return true;
     }
 
-    /** Takes one permit only if at least {@code reserve} would be left: for what can wait until there is plenty. */
+    /** Acquires one permit only if at least {@code reserve} permits remain; intended for low-priority work. */
     public boolean tryAcquireAboveReserve(double reserve) {
         refill();
         if (permits < reserve + 1) {
@@ -45,13 +45,13 @@
         return true;
     }
 
-    /** Whole permits that could be taken now. */
+    /** Returns the number of whole permits that can be acquired now. */
     public int available() {
         refill();
         return (int) Math.max(0, Math.floor(permits));
     }
 
-    /** Spends permits that were used without asking; the bucket may go below empty and refills from there. */
+    /** Consumes permits without checking that they are available; the balance may become negative. */
     public void consume(int used) {
         refill();
         permits -= used;
--- a/src/main/java/org/weldcourse/store/RetryingCommit.java
+++ b/src/main/java/org/weldcourse/store/RetryingCommit.java
@@ -5,55 +5,59 @@
 import org.weldcourse.store.Store.Outcome;
 
 /**
- * Sends one compare-and-swap again and again until the state service gives a definite answer ({@link Outcome#OK},
- * {@link Outcome#REFUSED} or {@link Outcome#INVALID}), 250 ms apart. A commit without an answer may have been applied,
- * or may be later; sending the very same one again settles it, since its compare conditions can hold only once.
+ * Retries a transaction every 250 ms until the store returns a definite outcome ({@link Outcome#OK},
+ * {@link Outcome#REFUSED} or {@link Outcome#INVALID}). A commit that timed out may have been applied, or may be applied
+ * later; retrying the same transaction is safe because its compare conditions can hold only once.
  */
 public final class RetryingCommit {
     private static final long RETRY_MICROS = 250_000;
 
     private final Store store;
     private final Timers timers;
-    private final Transaction txn;
-    private final BooleanSupplier awaited;
-    private final Callback done;
+    private final Transaction transaction;
+    private final BooleanSupplier stillNeeded;
+    private final Callback callback;
     private boolean afterUnansweredAttempt;
 
-    /** Told the definite answer. */
+    /** Receives the definite outcome. */
     public interface Callback {
         /**
-         * {@code afterUnansweredAttempt}: an earlier attempt had no answer, so that a {@link Outcome#REFUSED} may be the
-         * effect of that attempt having been applied, and the keys should be read back.
+         * Called once.
+         *
+         * @param afterUnansweredAttempt whether an earlier attempt timed out. That attempt may have been applied and be
+         *     the cause of {@link Outcome#REFUSED}; the keys must be read back to find out.
          */
         void accept(Store.Commit commit, boolean afterUnansweredAttempt);
     }
 
-    private RetryingCommit(Store store, Timers timers, Transaction txn, BooleanSupplier awaited, Callback done) {
+    private RetryingCommit(
+            Store store, Timers timers, Transaction transaction, BooleanSupplier stillNeeded, Callback callback) {
         this.store = store;
         this.timers = timers;
-        this.txn = txn;
-        this.awaited = awaited;
-        this.done = done;
+        this.transaction = transaction;
+        this.stillNeeded = stillNeeded;
+        this.callback = callback;
     }
 
     /**
-     * Sends a compare-and-swap until its answer is definite, and tells {@code done} unless {@code awaited} has turned
-     * false meanwhile (nobody waits for the result any more; then no further attempt is made).
+     * Sends the transaction until its outcome is definite, then calls {@code callback}. Once {@code stillNeeded}
+     * returns false, no further attempt is made and {@code callback} is not called.
      */
-    public static void send(Store store, Timers timers, Transaction txn, BooleanSupplier awaited, Callback done) {
-        new RetryingCommit(store, timers, txn, awaited, done).attempt();
+    public static void send(
+            Store store, Timers timers, Transaction transaction, BooleanSupplier stillNeeded, Callback callback) {
+        new RetryingCommit(store, timers, transaction, stillNeeded, callback).attempt();
     }
 
     private void attempt() {
-        if (!awaited.getAsBoolean()) {
+        if (!stillNeeded.getAsBoolean()) {
             return;
         }
-        store.commit(txn, commit -> {
-            if (!awaited.getAsBoolean()) {
+        store.commit(transaction, commit -> {
+            if (!stillNeeded.getAsBoolean()) {
                 return;
             }
             if (isDefinite(commit.outcome())) {
-                done.accept(commit, afterUnansweredAttempt);
+                callback.accept(commit, afterUnansweredAttempt);
                 return;
             }
             afterUnansweredAttempt |= commit.outcome() == Outcome.UNKNOWN;
--- a/src/main/java/org/weldcourse/store/Store.java
+++ b/src/main/java/org/weldcourse/store/Store.java
@@ -8,9 +8,9 @@
 import org.weldcourse.runtime.Clock;
 
 /**
- * Client of the state service, a consensus-backed key-value store. Every result carries an {@link Outcome} that says
- * whether the request was carried out, refused, or may have been. Results are handed over on the event loop; times are
- * in microseconds of the {@link Clock}.
+ * Client of the store, a consensus-backed key-value service. Every result carries an {@link Outcome} that says whether
+ * the request was applied, was not applied, or may have been applied. Callbacks run on the event loop; times are in
+ * microseconds of the {@link Clock}.
  */
 public final class Store {
     private static final long TIMEOUT_MICROS = 1_500_000;
@@ -21,7 +21,7 @@
     private long failingSinceMicros = -1;
     private long lastResponseMicros;
 
-    /** The state service at {@code host:port}. */
+    /** Creates a client of the store at {@code host:port}. */
     public Store(Caller caller, Clock clock, String address) {
         this.caller = caller;
         this.clock = clock;
@@ -29,186 +29,192 @@
     }
 
     /**
-     * How a request ended. Only {@link #UNKNOWN} leaves open whether a write took effect: a compare-and-swap without an
-     * answer may have been applied, or may be applied later, and must be read back or sent again.
+     * Result of a request. Only {@link #UNKNOWN} leaves open whether a write took effect: the caller must read the keys
+     * back or retry the transaction.
      */
     public enum Outcome {
-        /** 200: applied, or read. */
+        /** 200: the write was applied or the read succeeded. */
         OK,
         /**
-         * 404, 409 or 410, not applied: a compare condition failed (a conflict), or the key, the lease or the revision
-         * does not exist (not found, lease expiry, or a revision that was compacted away).
+         * 404, 409 or 410: not applied. A compare condition failed, the key was not found, the lease has expired, or
+         * the revision was compacted away.
          */
         REFUSED,
-        /** 429, not applied: over the service's request or write rate. */
+        /** 429: not applied. The store's request or write rate limit was exceeded. */
         RATE_LIMITED,
-        /** 503, or never sent: not applied, in an outage or while this node is cut off. */
+        /** 503, or not sent: not applied, because of an outage or a network partition. */
         UNAVAILABLE,
-        /** No answer in time: applied, or not, or applied later. */
+        /** Timeout: the request may have been applied, or may still be applied later. */
         UNKNOWN,
         /**
-         * 400 or a status the protocol does not name, not applied: the request is malformed, or it writes under a lease
-         * that has expired (lease expiry: {@code "no such lease"}).
+         * 400 or an unexpected status: not applied. The request is malformed, or it attaches a key to an expired lease
+         * ({@code "no such lease"}).
          */
         INVALID
     }
 
-    /** A key with its value, its mod revision (the store revision of its last change) and its lease id (0: none). */
+    /** A key with its value, its mod revision (the store revision of its last change) and its lease id (0 for none). */
     public record Entry(String key, Map<String, Object> value, long modRevision, long leaseId) {}
 
-    /** The answer to a read of one key. */
+    /** The result of reading one key; {@code entry} is null unless the outcome is {@link Outcome#OK}. */
     public record Read(Outcome outcome, Entry entry) {}
 
-    /** The entries below a prefix, and a revision that all of them are at least as new as. */
+    /** The entries with a prefix. Each of them is at least as recent as {@code revision}. */
     public record Listing(Outcome outcome, List<Entry> entries, long revision) {}
 
     /**
-     * The answer to a compare-and-swap: the store revision that it was applied at (when refused, the current one), and
-     * in {@code failed} the keys whose compare condition did not hold.
+     * The result of a transaction.
+     *
+     * @param revision the store revision at which it was applied; if refused, the current revision
+     * @param failed the keys whose compare conditions failed
      */
     public record Commit(Outcome outcome, long revision, List<Object> failed) {}
 
-    /** The answer to a request for a lease: its id when the outcome is {@link Outcome#OK}, else 0. */
+    /** The result of a lease request; {@code leaseId} is 0 unless the outcome is {@link Outcome#OK}. */
     public record LeaseGrant(Outcome outcome, long leaseId) {}
 
-    /** A change of one key at a mod revision; {@code value} is null for a key that was deleted. */
+    /** A change of one key at a mod revision; {@code value} is null for a deletion. */
     public record Event(String key, Map<String, Object> value, long modRevision) {}
 
-    /** What changed, in order, up to a store revision that the next watch starts after. */
+    /** The changes in order, up to {@code revision}; the next watch continues after that revision. */
     public record Events(Outcome outcome, List<Event> events, long revision) {}
 
-    /** Since when nothing but 503s or missing answers came, or -1 while the service serves us. */
+    /**
+     * Returns the time since which every request has failed with a 503, a timeout or a connection error; -1 if the last
+     * request did not.
+     */
     public long failingSinceMicros() {
         return failingSinceMicros;
     }
 
-    /** When a request last came to an end, with an answer or without (0: none yet). */
+    /** Returns the time at which the last request completed, successfully or not; 0 if none has. */
     public long lastResponseMicros() {
         return lastResponseMicros;
     }
 
-    /** Reads one key; the entry is null unless the outcome is {@link Outcome#OK} (404: {@link Outcome#REFUSED}). */
-    public void get(String key, Consumer<Read> then) {
+    /** Reads one key; a key that does not exist (404) yields {@link Outcome#REFUSED}. */
+    public void get(String key, Consumer<Read> callback) {
         send(
                 "GET",
                 StoreCodec.keyPath(key),
                 null,
                 TIMEOUT_MICROS,
-                answer -> then.accept(new Read(
-                        StoreCodec.outcome(answer.status()),
-                        answer.ok() ? StoreCodec.entry(key, answer.body()) : null)));
+                response -> callback.accept(new Read(
+                        StoreCodec.outcome(response.status()),
+                        response.ok() ? StoreCodec.entry(key, response.body()) : null)));
     }
 
     /**
-     * Reads every key with the prefix, page by page, in the order of keys. The revision is that of the first page, so
-     * that a watch from it misses no change; the first page that fails ends the listing with its outcome.
+     * Reads all keys with the prefix, page by page, in key order. The listing has the revision of the first page, so
+     * that a watch from there misses no change. If a page fails, the listing fails with that page's outcome.
      */
-    public void list(String prefix, Consumer<Listing> then) {
-        page(prefix, null, new ArrayList<>(), 0, then);
+    public void list(String prefix, Consumer<Listing> callback) {
+        listPage(prefix, null, new ArrayList<>(), 0, callback);
     }
 
-    private void page(String prefix, String after, List<Entry> found, long revision, Consumer<Listing> then) {
-        send("GET", StoreCodec.listPath(prefix, after), null, 2 * TIMEOUT_MICROS, answer -> {
-            if (!answer.ok()) {
-                then.accept(new Listing(StoreCodec.outcome(answer.status()), List.of(), 0));
+    private void listPage(String prefix, String after, List<Entry> entries, long revision, Consumer<Listing> callback) {
+        send("GET", StoreCodec.listPath(prefix, after), null, 2 * TIMEOUT_MICROS, response -> {
+            if (!response.ok()) {
+                callback.accept(new Listing(StoreCodec.outcome(response.status()), List.of(), 0));
                 return;
             }
-            found.addAll(StoreCodec.pageEntries(answer.body()));
-            long first = revision > 0 ? revision : StoreCodec.revision(answer.body(), 0);
-            if (StoreCodec.hasNextPage(answer.body()) && !found.isEmpty()) {
-                page(prefix, found.get(found.size() - 1).key(), found, first, then);
+            entries.addAll(StoreCodec.pageEntries(response.body()));
+            long firstPageRevision = revision > 0 ? revision : StoreCodec.revision(response.body(), 0);
+            if (StoreCodec.hasNextPage(response.body()) && !entries.isEmpty()) {
+                listPage(prefix, entries.get(entries.size() - 1).key(), entries, firstPageRevision, callback);
             } else {
-                then.accept(new Listing(Outcome.OK, found, first));
+                callback.accept(new Listing(Outcome.OK, entries, firstPageRevision));
             }
         });
     }
 
-    /** Sends a compare-and-swap once; see {@link RetryingCommit} for one that settles an {@link Outcome#UNKNOWN}. */
-    public void commit(Transaction txn, Consumer<Commit> then) {
+    /** Sends a transaction once; {@link RetryingCommit} retries until the outcome is definite. */
+    public void commit(Transaction transaction, Consumer<Commit> callback) {
         send(
                 "POST",
                 StoreCodec.COMMIT_PATH,
-                txn.body(),
+                transaction.body(),
                 TIMEOUT_MICROS,
-                answer -> then.accept(new Commit(
-                        StoreCodec.outcome(answer.status()),
-                        StoreCodec.revision(answer.body(), 0),
-                        StoreCodec.failedKeys(answer.body()))));
+                response -> callback.accept(new Commit(
+                        StoreCodec.outcome(response.status()),
+                        StoreCodec.revision(response.body(), 0),
+                        StoreCodec.failedKeys(response.body()))));
     }
 
-    /** Asks for a lease that expires unless renewed within {@code ttlMicros} (sent in whole milliseconds). */
-    public void grantLease(long ttlMicros, Consumer<LeaseGrant> then) {
+    /** Requests a lease that expires unless renewed within {@code ttlMicros} (sent in whole milliseconds). */
+    public void grantLease(long ttlMicros, Consumer<LeaseGrant> callback) {
         send(
                 "POST",
                 StoreCodec.LEASES_PATH,
                 StoreCodec.leaseRequest(ttlMicros),
                 TIMEOUT_MICROS,
-                answer -> then.accept(
-                        new LeaseGrant(StoreCodec.outcome(answer.status()), StoreCodec.leaseId(answer.body()))));
+                response -> callback.accept(
+                        new LeaseGrant(StoreCodec.outcome(response.status()), StoreCodec.leaseId(response.body()))));
     }
 
     /**
-     * Renews a lease for its full time to live; {@link Outcome#REFUSED} means lease expiry. It goes on a dedicated
-     * connection: with all others busy, a renewal that had to wait for a new one to open came too late.
+     * Renews a lease for its full time to live; {@link Outcome#REFUSED} means that it has expired. Renewals use a
+     * dedicated connection: when all pooled connections were busy, opening another one delayed the renewal past the
+     * lease's expiry.
      */
-    public void renewLease(long leaseId, long timeoutMicros, Consumer<Outcome> then) {
+    public void renewLease(long leaseId, long timeoutMicros, Consumer<Outcome> callback) {
         send(
                 new Caller.Call(address, "POST", StoreCodec.renewalPath(leaseId), Map.of(), timeoutMicros, true),
-                answer -> then.accept(StoreCodec.outcome(answer.status())));
+                response -> callback.accept(StoreCodec.outcome(response.status())));
     }
 
-    /** Revokes a lease at once, and with it deletes the keys attached to it. */
-    public void revokeLease(long leaseId, Consumer<Outcome> then) {
+    /** Revokes a lease, which deletes the keys attached to it. */
+    public void revokeLease(long leaseId, Consumer<Outcome> callback) {
         send(
                 "DELETE",
                 StoreCodec.leasePath(leaseId),
                 null,
                 TIMEOUT_MICROS,
-                answer -> then.accept(StoreCodec.outcome(answer.status())));
+                response -> callback.accept(StoreCodec.outcome(response.status())));
     }
 
     /**
-     * Waits up to {@code waitMicros} (sent in whole milliseconds) for changes of keys with the prefix after a revision.
-     * {@link Outcome#REFUSED} (410) means the revision was compacted away: read the keys again.
+     * Waits up to {@code waitMicros} (sent in whole milliseconds) for changes after a revision to keys with the prefix.
+     * {@link Outcome#REFUSED} (410) means that the revision was compacted away and the keys must be listed again.
      */
-    public void watch(String prefix, long afterRevision, long waitMicros, Consumer<Events> then) {
+    public void watch(String prefix, long afterRevision, long waitMicros, Consumer<Events> callback) {
         send(
                 "GET",
                 StoreCodec.watchPath(prefix, afterRevision, waitMicros),
                 null,
                 waitMicros + TIMEOUT_MICROS,
-                answer -> {
-                    if (!answer.ok()) {
-                        then.accept(new Events(StoreCodec.outcome(answer.status()), List.of(), afterRevision));
+                response -> {
+                    if (!response.ok()) {
+                        callback.accept(new Events(StoreCodec.outcome(response.status()), List.of(), afterRevision));
                         return;
                     }
-                    then.accept(new Events(
+                    callback.accept(new Events(
                             Outcome.OK,
-                            StoreCodec.events(answer.body()),
-                            StoreCodec.revision(answer.body(), afterRevision)));
+                            StoreCodec.events(response.body()),
+                            StoreCodec.revision(response.body(), afterRevision)));
                 });
     }
 
-    /** What changed after a revision until now, without waiting. */
-    public void changes(String prefix, long afterRevision, Consumer<Events> then) {
-        watch(prefix, afterRevision, 0, then);
+    /** Fetches the changes after a revision without waiting for new ones. */
+    public void changes(String prefix, long afterRevision, Consumer<Events> callback) {
+        watch(prefix, afterRevision, 0, callback);
     }
 
-    private void send(String method, String path, Map<String, Object> body, long timeoutMicros, Caller.Done done) {
-        send(new Caller.Call(address, method, path, body, timeoutMicros), done);
+    private void send(String method, String path, Map<String, Object> body, long timeoutMicros, Caller.Done callback) {
+        send(new Caller.Call(address, method, path, body, timeoutMicros), callback);
     }
 
-    /** Tracks whether the service serves us: a 503 or a call without an answer counts as failing. */
-    private void send(Caller.Call call, Caller.Done done) {
-        caller.call(call, answer -> {
-            int status = answer.status();
+    /** Sends a request and tracks the store's availability: a 503, a timeout or a connection error is a failure. */
+    private void send(Caller.Call call, Caller.Done callback) {
+        caller.call(call, response -> {
+            int status = response.status();
             lastResponseMicros = clock.nowMicros();
             if (status > 0 && status != 503) {
                 failingSinceMicros = -1;
             } else if (failingSinceMicros < 0) {
                 failingSinceMicros = clock.nowMicros();
             }
-            done.accept(answer);
+            callback.accept(response);
         });
     }
 }
--- a/src/main/java/org/weldcourse/store/StoreCodec.java
+++ b/src/main/java/org/weldcourse/store/StoreCodec.java
@@ -9,14 +9,15 @@
 import org.weldcourse.store.Store.Outcome;
 
 /**
- * The state service's wire, mapped once: its paths, and its JSON names for the terms used in code ({@code mark}: mod
- * revision, {@code ledger}: store revision, {@code permit}: lease id, {@code grants}: leases).
+ * Paths and JSON encoding of the store's HTTP API. The API's field names differ from the terms used in code:
+ * {@code mark} is the mod revision, {@code ledger} the store revision, {@code permit} the lease id, {@code grants} the
+ * leases.
  */
 final class StoreCodec {
     static final String COMMIT_PATH = "/commit";
     static final String LEASES_PATH = "/grants";
 
-    /** Items in one page of a listing: the most that the service hands out at once. */
+    /** Maximum page size that the store accepts. */
     private static final int PAGE_SIZE = 1000;
 
     private StoreCodec() {}
@@ -25,7 +26,7 @@
         return "/store/" + key;
     }
 
-    /** A page of the keys with the prefix, beginning after the key {@code after} (null: at the first). */
+    /** Path of one page of the keys with a prefix, starting after the key {@code after} (null for the first page). */
     static String listPath(String prefix, String after) {
         return "/store?starts=" + prefix + (after == null ? "" : "&after=" + after) + "&most=" + PAGE_SIZE;
     }
@@ -42,7 +43,7 @@
         return leasePath(leaseId) + "/extend";
     }
 
-    /** The body of a request for a lease; the wire counts whole milliseconds. */
+    /** Body of a lease request; the API takes whole milliseconds. */
     static Map<String, Object> leaseRequest(long ttlMicros) {
         return Json.of("ttl_ms", ttlMicros / 1000);
     }
@@ -51,22 +52,22 @@
         return Json.integer(body, "permit", 0);
     }
 
-    /** The store revision that an answer names, or {@code otherwise}. */
-    static long revision(Map<String, Object> body, long otherwise) {
-        return Json.integer(body, "ledger", otherwise);
+    /** The store revision in a response, or {@code defaultRevision} if it has none. */
+    static long revision(Map<String, Object> body, long defaultRevision) {
+        return Json.integer(body, "ledger", defaultRevision);
     }
 
-    /** The keys whose compare condition failed. */
+    /** The keys whose compare conditions failed. */
     static List<Object> failedKeys(Map<String, Object> body) {
         return Json.list(body.get("failed"));
     }
 
-    /** The entry of a key as a read of it answers. */
+    /** Decodes the response to a read of one key. */
     static Entry entry(String key, Map<String, Object> body) {
         return new Entry(key, Json.object(body.get("value")), Json.integer(body, "mark", 0), leaseId(body));
     }
 
-    /** The entries of one page of a listing. */
+    /** Decodes the entries on one page of a listing. */
     static List<Entry> pageEntries(Map<String, Object> body) {
         List<Entry> entries = new ArrayList<>();
         for (Object item : Json.list(body.get("pairs"))) {
@@ -80,7 +81,7 @@
         return Json.flag(body, "has_next");
     }
 
-    /** The changes that a watch answers with, in their order. */
+    /** Decodes the changes in a watch response, in order. */
     static List<Event> events(Map<String, Object> body) {
         List<Event> events = new ArrayList<>();
         for (Object item : Json.list(body.get("events"))) {
@@ -94,7 +95,7 @@
         return events;
     }
 
-    /** The outcome of a status, with 0 for no answer and -1 for never sent (see {@code Caller.Answer}). */
+    /** Maps an HTTP status to an outcome; 0 means no response and -1 not sent (see {@link Caller.Answer}). */
     static Outcome outcome(int status) {
         return switch (status) {
             case 200 -> Outcome.OK;
--- a/src/main/java/org/weldcourse/store/Transaction.java
+++ b/src/main/java/org/weldcourse/store/Transaction.java
@@ -6,46 +6,46 @@
 import org.weldcourse.http.Json;
 
 /**
- * A compare-and-swap on the state service, in the making: its puts and deletes are applied together, at one revision,
- * only if every compared key still has the expected mod revision. Without puts or deletes it only compares.
+ * Builder of a conditional store transaction. Its puts and deletes are applied atomically, at one revision, only if
+ * every compared key still has the expected mod revision. Without puts or deletes it only checks the conditions.
  */
 public final class Transaction {
     private final List<Object> compares = new ArrayList<>();
     private final List<Object> operations = new ArrayList<>();
 
-    /** Requires that the key's mod revision is this one; 0: that the key does not exist. */
+    /** Adds the condition that the key has this mod revision; 0 means that the key does not exist. */
     public Transaction ifModRevision(String key, long modRevision) {
         compares.add(Json.of("path", key, "mark", modRevision));
         return this;
     }
 
-    /** Writes a value and detaches the key from any lease. */
+    /** Adds a put that writes a value and detaches the key from any lease. */
     public Transaction put(String key, Object value) {
         operations.add(Json.of("write", key, "value", value));
         return this;
     }
 
     /**
-     * Writes a value and attaches the key to a lease; if the lease has expired, the whole request is refused as
-     * {@link Store.Outcome#INVALID}.
+     * Adds a put that writes a value and attaches the key to a lease. If the lease has expired, the store rejects the
+     * whole transaction with {@link Store.Outcome#INVALID}.
      */
     public Transaction put(String key, Object value, long leaseId) {
         operations.add(Json.of("write", key, "value", value, "permit", leaseId));
         return this;
     }
 
-    /** Deletes a key. */
+    /** Adds the deletion of a key. */
     public Transaction delete(String key) {
         operations.add(Json.of("delete", key));
         return this;
     }
 
-    /** How many puts and deletes there are, which the service's write rate counts. */
+    /** Returns the number of puts and deletes, which count towards the store's write rate limit. */
     public int operationCount() {
         return operations.size();
     }
 
-    /** The request body in the wire's words. */
+    /** Returns the JSON request body. */
     Map<String, Object> body() {
         return Json.of("guards", compares, "then", operations);
     }
--- a/src/main/java/org/weldcourse/store/package-info.java
+++ b/src/main/java/org/weldcourse/store/package-info.java
@@ -1,2 +1,2 @@
-/** The client of the state service, a consensus-backed key-value store: reads, watches, leases and compare-and-swap. */
+/** Client of the store, a consensus-backed key-value service with watches, leases and conditional transactions. */
 package org.weldcourse.store;
--- a/src/test/java/org/weldcourse/fleet/ScaleInPolicyTest.java
+++ b/src/test/java/org/weldcourse/fleet/ScaleInPolicyTest.java
@@ -43,7 +43,7 @@
     }
 
     private Optional<ScaleInReason> reason(Machine machine) {
-        policy.survey(NOW);
+        policy.assessCluster(NOW);
         return policy.reason(machine, NOW);
     }
 
