--- a/src/main/java/org/weldcourse/app/StoreProbeTask.java
+++ b/src/main/java/org/weldcourse/app/StoreProbeTask.java
@@ -23,7 +23,7 @@
     protected long step() {
         // It comes every second, so that its lateness stands for that of all tasks.
         processMetrics.taskWasLate(lateMicros());
-        if (clock.nowMicros() - store.lastResponseMicros() >= PROBE_MICROS) {
+        if (clock.nowMicros() - store.lastCompletedMicros() >= PROBE_MICROS) {
             store.get(LeaderElection.FENCING_TOKEN_KEY, read -> {});
         }
         return PROBE_MICROS;
--- a/src/main/java/org/weldcourse/store/Store.java
+++ b/src/main/java/org/weldcourse/store/Store.java
@@ -19,7 +19,7 @@
     private final Clock clock;
     private final String address;
     private long failingSinceMicros = -1;
-    private long lastResponseMicros;
+    private long lastCompletedMicros;
 
     /** Creates a client of the store at {@code host:port}. */
     public Store(Caller caller, Clock clock, String address) {
@@ -88,8 +88,8 @@
     }
 
     /** Returns the time at which the last request completed, successfully or not; 0 if none has. */
-    public long lastResponseMicros() {
-        return lastResponseMicros;
+    public long lastCompletedMicros() {
+        return lastCompletedMicros;
     }
 
     /** Reads one key; a key that does not exist (404) yields {@link Outcome#REFUSED}. */
@@ -208,7 +208,7 @@
     private void send(Caller.Call call, Caller.Done callback) {
         caller.call(call, response -> {
             int status = response.status();
-            lastResponseMicros = clock.nowMicros();
+            lastCompletedMicros = clock.nowMicros();
             if (status > 0 && status != 503) {
                 failingSinceMicros = -1;
             } else if (failingSinceMicros < 0) {
