--- a/src/main/java/org/weldcourse/fleet/Autoscaler.java
+++ b/src/main/java/org/weldcourse/fleet/Autoscaler.java
@@ -13,14 +13,13 @@
 import org.weldcourse.store.RateLimiter;
 
 /**
- * The leader's autoscaler: once a second it scales out for pending work and for the warm pools, and scales in by
- * machines that are idle, lost, faulty or never came up. Machines that the cloud lists and nobody here knows are
- * adopted.
+ * The leader's autoscaler. Once a second it scales out for pending work and for the warm pools, and deletes machines
+ * that are idle, lost, faulty or failed to boot. Unknown machines on the cloud's list are adopted.
  */
 public final class Autoscaler extends ScheduledTask {
-    /** The time from one step to the next. */
+    /** Interval between two steps. */
     static final long STEP_MICROS = 1_000_000;
-    /** The part of the cloud's request rate that is used at most, in the long run. */
+    /** Maximum sustained call rate, as a share of the cloud's request rate limit. */
     private static final double MAX_CALL_RATE_SHARE = 0.8;
 
     private final ClusterState cluster;
@@ -35,19 +34,19 @@
     private List<CapacityDemand> demand = List.of();
     private Set<String> reservedMachines = Set.of();
 
-    /** The leader's term that the fleet is scaled for. */
+    /** The leader's term during which the autoscaler runs. */
     public interface Term {
-        /** Whether the leader lease holds: without it the fleet is neither scaled out nor in. */
+        /** Returns whether the leader lease is valid; without it the autoscaler does nothing. */
         boolean leaseHolds();
 
-        /** The cloud confirmed that machines are deleted: their tasks may be placed elsewhere. */
+        /** Called when the cloud confirms the deletion of machines, so that their tasks can be placed elsewhere. */
         void machinesDeleted();
     }
 
     /**
-     * The autoscaler of a term that begins now.
+     * Creates the autoscaler of a term that starts now.
      *
-     * @param fencingToken of the term; request ids that are made of it are never used again
+     * @param fencingToken the term's fencing token, which makes request ids unique across terms
      */
     public Autoscaler(
             ClusterState cluster,
@@ -92,28 +91,28 @@
                 this);
     }
 
-    /** What found no room in the last admission cycle, and the idle machines that are reserved all the same. */
+    /** Updates the demand that the last admission cycle could not place, and the idle machines that it reserved. */
     public void updateDemand(List<CapacityDemand> pending, Set<String> reserved) {
         demand = pending;
         reservedMachines = reserved;
     }
 
-    /** Takes note of a job: classes with an objective for their start get a warm pool. */
+    /** Records a job; job classes with a start-time objective get a warm pool. */
     public void jobSeen(JobSpec job) {
         warmPools.jobSeen(job, clock.nowMicros());
     }
 
-    /** Whether the cloud confirmed that the machine is deleted. */
+    /** Returns whether the cloud has confirmed the machine's deletion. */
     public boolean isDeleted(String machine) {
         return inventory.isDeleted(machine);
     }
 
-    /** What the machines' time was spent on in this term. */
+    /** Returns the machine costs of this term by activity. */
     public CostBreakdown costs() {
         return costs;
     }
 
-    /** The highest priority of classes with a warm pool that could use such a machine, or null. */
+    /** Returns the highest priority among job classes with a warm pool that can use the machine, or null. */
     public JobSpec.Priority startSloPriority(Machine machine) {
         return warmPools.highestPriority(machine);
     }
@@ -127,14 +126,14 @@
     protected long step() {
         long nowMicros = clock.nowMicros();
         if (types.known().isEmpty() || !term.leaseHolds()) {
-            // A deposed leader that is cut off hears no worker: it must not delete its successor's machines.
+            // A partitioned former leader receives no heartbeats and must not delete its successor's machines.
             return STEP_MICROS / 2;
         }
         warmPools.dropUnused(nowMicros);
         if (inventory.isRefreshDue(nowMicros) && callLimiter.tryAcquire(1)) {
             inventory.refresh(nowMicros);
         }
-        scaleOut.retryUnanswered();
+        scaleOut.retryTimedOutRequests();
         warmPools.measureLoad();
         costs.accrue(cluster.machines.values(), nowMicros);
         scaleIn.step(reservedMachines, nowMicros);
--- a/src/main/java/org/weldcourse/fleet/BootTimeouts.java
+++ b/src/main/java/org/weldcourse/fleet/BootTimeouts.java
@@ -2,19 +2,19 @@
 
 import org.weldcourse.cluster.Machine;
 
-/** How long a launched machine is waited for, in step with the usual boot time of its type. */
+/** Timeouts for booting machines, derived from the usual boot time of the machine type. */
 final class BootTimeouts {
-    /** A machine is charged for a minute at least; a little less, so that it is deleted before the next second. */
+    /** Machines are billed for at least one minute; 2 s less, so that a deletion takes effect within that minute. */
     static final long MIN_BILLED_MICROS = 58_000_000;
 
     private BootTimeouts() {}
 
-    /** Later than nearly all machines come up: another is launched in its place if the work still waits. */
+    /** Whether the machine takes longer to boot than nearly all do; waiting work then gets a replacement. */
     static boolean isBootOverdue(Machine machine, long nowMicros) {
         return machine.type != null && nowMicros - machine.rentedMicros > machine.type.bootMicros() * 8 / 5 + 5_000_000;
     }
 
-    /** Later than is worth paying for: it is deleted. */
+    /** Whether the machine has not booted within the time worth paying for; it is then deleted. */
     static boolean isBootTimedOut(Machine machine, long nowMicros) {
         return machine.type != null
                 && nowMicros - machine.rentedMicros
--- a/src/main/java/org/weldcourse/fleet/CloudClient.java
+++ b/src/main/java/org/weldcourse/fleet/CloudClient.java
@@ -7,13 +7,13 @@
 import org.weldcourse.http.Caller;
 
 /**
- * Client of the cloud API that launches and deletes machines. Every result carries an {@link Outcome} that says what
- * went wrong where something did; results are handed over on the event loop.
+ * Client of the cloud API that launches, lists and deletes machines. Every result carries an {@link Outcome};
+ * callbacks run on the event loop.
  */
 public final class CloudClient {
-    /** The most machines that one launch request may ask for. */
+    /** Maximum number of machines in one launch request. */
     static final int MAX_MACHINES_PER_LAUNCH = 50;
-    /** The most machines that one delete request may name. */
+    /** Maximum number of machines in one delete request. */
     static final int MAX_MACHINES_PER_DELETE = 100;
 
     private static final long TIMEOUT_MICROS = 4_000_000;
@@ -21,59 +21,57 @@
     private final Caller caller;
     private final String address;
 
-    /** The cloud API at {@code host:port}. */
+    /** Creates a client of the cloud API at {@code host:port}. */
     public CloudClient(Caller caller, String address) {
         this.caller = caller;
         this.address = address;
     }
 
-    /** How a call ended. Only {@link #UNKNOWN} leaves open whether it took effect. */
+    /** Result of a call. Only {@link #UNKNOWN} leaves open whether it took effect. */
     public enum Outcome {
-        /** 200: carried out. */
+        /** 200: the call succeeded. */
         OK,
-        /** 503 "no capacity": none available of the offering asked for. */
+        /** 503 "no capacity": no machine of the requested offering is available. */
         NO_CAPACITY,
-        /** 429, not carried out: over the rate of calls that the cloud allows. */
+        /** 429: not carried out. The cloud's request rate limit was exceeded. */
         RATE_LIMITED,
-        /** Any other 503, or never sent: not carried out, in an outage or while this node is cut off. */
+        /** Any other 503, or not sent: not carried out, because of an outage or a network partition. */
         UNAVAILABLE,
-        /** No response in time: carried out, or not, or carried out later. */
+        /** Timeout: the call may have been carried out, or may still be carried out later. */
         UNKNOWN,
-        /** 400 or a status that the protocol does not name: not carried out. */
+        /** 400 or an unexpected status: not carried out. */
         INVALID;
 
-        /** Whether the call was carried out. */
+        /** Returns whether the call succeeded. */
         public boolean ok() {
             return this == OK;
         }
     }
 
     /**
-     * The machine types on offer.
+     * The available machine types.
      *
      * @param types empty unless the outcome is {@link Outcome#OK}
-     * @param body the response as it came, to be kept on record
+     * @param body the unmodified response body, which is kept as a record in the store
      */
     public record MachineTypes(Outcome outcome, List<MachineType> types, Map<String, Object> body) {}
 
-    /**
-     * What came of a launch request: the names of the machines launched, fewer than asked for where capacity ran out.
-     */
+    /** The result of a launch request: the names of the launched machines, fewer than requested if capacity ran out. */
     public record LaunchResult(Outcome outcome, List<String> machines) {}
 
-    /** The list of machines; empty unless the outcome is {@link Outcome#OK}. */
+    /** The list of all machines; empty unless the outcome is {@link Outcome#OK}. */
     public record MachineList(Outcome outcome, List<ListedMachine> machines) {}
 
     /**
-     * A machine as the cloud lists it, with a lag.
+     * A machine on the cloud's list, which may be out of date.
      *
-     * @param starting not up yet
-     * @param failed stopped by itself: it costs nothing any more, and stays listed until it is deleted
-     * @param ageMicros the time since its launch was requested, in microseconds
+     * @param starting whether the machine is still booting
+     * @param failed whether the machine stopped on its own; it is no longer billed but stays listed until deleted
+     * @param ageMicros the time since the launch request, in microseconds
      */
     public record ListedMachine(String name, Offering offering, boolean starting, boolean failed, long ageMicros) {}
 
-    /** Asks for the machine types with their current prices. */
+    /** Fetches the machine types with their current prices. */
     public void machineTypes(Consumer<MachineTypes> callback) {
         send("GET", CloudCodec.MACHINE_TYPES_PATH, null, response -> {
             List<MachineType> types = response.ok() ? CloudCodec.machineTypes(response.body()) : List.of();
@@ -82,8 +80,8 @@
     }
 
     /**
-     * Launches up to {@code count} machines ({@value #MAX_MACHINES_PER_LAUNCH} at most). The request is idempotent:
-     * sent again under the same id it launches nothing more, so that the id must never be used for another request.
+     * Launches up to {@code count} machines (at most {@value #MAX_MACHINES_PER_LAUNCH}). The request id makes retries
+     * idempotent: a second request with the same id launches nothing, so each launch needs an id of its own.
      */
     public void launch(String requestId, Offering offering, int count, Consumer<LaunchResult> callback) {
         send(
@@ -95,8 +93,8 @@
     }
 
     /**
-     * Deletes machines ({@value #MAX_MACHINES_PER_DELETE} at most). Only {@link Outcome#OK} shows that they and all
-     * that ran on them are gone.
+     * Deletes machines (at most {@value #MAX_MACHINES_PER_DELETE}). Only {@link Outcome#OK} confirms that the machines
+     * and all tasks on them are gone.
      */
     public void delete(List<String> machines, Consumer<Outcome> callback) {
         send(
@@ -106,7 +104,7 @@
                 response -> callback.accept(CloudCodec.outcome(response)));
     }
 
-    /** Lists all machines, page by page; the first page that fails ends the list with its outcome. */
+    /** Lists all machines, page by page. If a page fails, the whole list fails with that page's outcome. */
     public void list(Consumer<MachineList> callback) {
         listPage(null, new ArrayList<>(), callback);
     }
--- a/src/main/java/org/weldcourse/fleet/CloudCodec.java
+++ b/src/main/java/org/weldcourse/fleet/CloudCodec.java
@@ -9,21 +9,21 @@
 import org.weldcourse.http.Json;
 
 /**
- * The cloud API's wire, mapped once: its paths, and its JSON names for the terms used in code ({@code hire}: request
- * id, {@code forge}: machine, {@code rig}: machine type, {@code yard}: zone, {@code loaners}: spot, {@code heat}:
- * state). Amounts come in seconds and GB, prices per hour; the record of machine types in the state service has the
- * form of the cloud's response.
+ * Paths and JSON encoding of the cloud API. The API's field names differ from the terms used in code: {@code hire} is
+ * the request id, {@code forge} a machine, {@code rig} a machine type, {@code yard} a zone, {@code loaners} spot,
+ * {@code heat} the machine's state. Times are in seconds, sizes in GB and prices per hour. The record of machine types
+ * in the store has the same format as the cloud's response.
  */
 final class CloudCodec {
     static final String MACHINE_TYPES_PATH = "/machine_types";
     static final String LAUNCH_PATH = "/machines";
     static final String DELETE_PATH = "/machines/release";
-    /** Machines in one page of the list: the most that the cloud hands out at once. */
+    /** Maximum page size that the cloud accepts. */
     private static final int PAGE_SIZE = 500;
 
     private CloudCodec() {}
 
-    /** A page of the machine list, beginning after the machine {@code after} (null: at the first). */
+    /** Path of one page of the machine list, starting after the machine {@code after} (null for the first page). */
     static String listPath(String after) {
         return "/machines?" + (after == null ? "" : "after=" + after + "&") + "most=" + PAGE_SIZE;
     }
@@ -58,7 +58,7 @@
         };
     }
 
-    /** The names of the machines that a launch request started. */
+    /** Decodes the names of the launched machines. */
     static List<String> launchedMachines(Map<String, Object> body) {
         List<String> names = new ArrayList<>();
         for (Object name : Json.list(body.get("forges"))) {
@@ -69,7 +69,7 @@
         return names;
     }
 
-    /** The machines on a page of the list; entries without a name are left out. */
+    /** Decodes one page of the machine list; entries without a name are skipped. */
     static List<ListedMachine> listedMachines(Map<String, Object> body) {
         List<ListedMachine> machines = new ArrayList<>();
         for (Object item : Json.list(body.get("forges"))) {
@@ -93,9 +93,7 @@
         return Json.flag(body, "has_next");
     }
 
-    /**
-     * The machine types in an response of the cloud, or in the record of one; entries that make no sense are left out.
-     */
+    /** Decodes the machine types in a response of the cloud or in the store's record; invalid entries are skipped. */
     static List<MachineType> machineTypes(Map<String, Object> body) {
         List<MachineType> types = new ArrayList<>();
         for (Object item : Json.list(body.get("rigs"))) {
--- a/src/main/java/org/weldcourse/fleet/CostBreakdown.java
+++ b/src/main/java/org/weldcourse/fleet/CostBreakdown.java
@@ -5,7 +5,7 @@
 import org.weldcourse.cluster.Booking;
 import org.weldcourse.cluster.Machine;
 
-/** What the machines' time was paid for during a term, in the cloud's money: an operator's first look. */
+/** Machine costs during a term, by what the machines did, in the cloud's currency. */
 public final class CostBreakdown {
     private static final double MICROS_PER_HOUR = 3600e6;
 
@@ -13,12 +13,12 @@
     private double idle;
     private double preparing;
     private double running;
-    private long accruedMicros = -1;
+    private long lastAccrualMicros = -1;
 
-    /** Counts the time since the last call as spent on what the machines do now. */
+    /** Attributes the cost since the previous call to the machines' current activities. */
     public void accrue(Collection<Machine> machines, long nowMicros) {
-        double hours = accruedMicros < 0 ? 0 : (nowMicros - accruedMicros) / MICROS_PER_HOUR;
-        accruedMicros = nowMicros;
+        double hours = lastAccrualMicros < 0 ? 0 : (nowMicros - lastAccrualMicros) / MICROS_PER_HOUR;
+        lastAccrualMicros = nowMicros;
         for (Machine machine : machines) {
             if (machine.type == null || machine.reportedFailed) {
                 continue;
@@ -28,21 +28,21 @@
                 booting += cost;
                 continue;
             }
-            double runs = 0;
-            double prepares = 0;
+            double runningShare = 0;
+            double preparingShare = 0;
             for (Booking booking : machine.bookings.values()) {
                 double share = booking.job().spec().cpus() / machine.type.cpus();
                 if (booking.isRunning()) {
-                    runs += share;
+                    runningShare += share;
                 } else {
-                    prepares += share;
+                    preparingShare += share;
                 }
             }
-            runs = Math.min(1, runs);
-            prepares = Math.min(1 - runs, prepares);
-            running += cost * runs;
-            preparing += cost * prepares;
-            idle += cost * (1 - runs - prepares);
+            runningShare = Math.min(1, runningShare);
+            preparingShare = Math.min(1 - runningShare, preparingShare);
+            running += cost * runningShare;
+            preparing += cost * preparingShare;
+            idle += cost * (1 - runningShare - preparingShare);
         }
     }
 
--- a/src/main/java/org/weldcourse/fleet/FailoverGracePeriod.java
+++ b/src/main/java/org/weldcourse/fleet/FailoverGracePeriod.java
@@ -4,19 +4,18 @@
 import org.weldcourse.cluster.Machine;
 
 /**
- * The time after a failover in which a new leader does not scale out. It can't count on machines before they have sent
- * it a heartbeat: until most have, it would launch machines for all waiting work once more, beside those that run it
- * already.
+ * The period after a failover in which a new leader does not scale out. Machines count as capacity only once they have
+ * sent it a heartbeat; before most have, it would launch new machines for work that is already running.
  */
 final class FailoverGracePeriod {
-    /** Machines that died with the old leader are never heard of: a new one does not wait for the last of them. */
+    /** Share of silent machines at which the period ends; machines that died during the failover never report. */
     private static final double MAX_SILENT_SHARE = 0.1;
 
     private final ClusterState cluster;
     private final HeartbeatTimeouts timeouts;
     private final long startedMicros;
 
-    /** The grace period of a leader that was elected at this time. */
+    /** Creates the grace period of a leader elected at {@code startedMicros}. */
     FailoverGracePeriod(ClusterState cluster, HeartbeatTimeouts timeouts, long startedMicros) {
         this.cluster = cluster;
         this.timeouts = timeouts;
@@ -24,21 +23,22 @@
     }
 
     /**
-     * Whether too many machines are still silent of.
+     * Returns whether too many machines have not sent a heartbeat yet.
      *
-     * @param hasListed whether the cloud's list has come since the election; before, not all machines are known
+     * @param hasReceivedList whether the cloud's list was received since the election; until then, some machines may be
+     *     unknown
      */
-    boolean isActive(boolean hasListed, long nowMicros) {
+    boolean isActive(boolean hasReceivedList, long nowMicros) {
         if (nowMicros - startedMicros > timeouts.failoverMicros()) {
             return false;
         }
-        int heard = 0;
+        int reporting = 0;
         int silent = 0;
         for (Machine machine : cluster.machines.values()) {
-            heard += machine.isUp() ? 1 : 0;
+            reporting += machine.isUp() ? 1 : 0;
             silent += machine.isUp() || isBooting(machine, nowMicros) ? 0 : 1;
         }
-        return !hasListed || silent > MAX_SILENT_SHARE * (heard + silent);
+        return !hasReceivedList || silent > MAX_SILENT_SHARE * (reporting + silent);
     }
 
     private static boolean isBooting(Machine machine, long nowMicros) {
--- a/src/main/java/org/weldcourse/fleet/HostCapacity.java
+++ b/src/main/java/org/weldcourse/fleet/HostCapacity.java
@@ -1,14 +1,14 @@
 package org.weldcourse.fleet;
 
 /**
- * What a machine that is up or on its way has to give, as the scale-out plan sees it.
+ * The capacity of a running or booting machine, as input to the scale-out plan.
  *
- * @param booting it is not up yet, and so holds no image
- * @param availableAtMicros from when it can take work
- * @param remainingCpuMicros the work that is left of tasks on it, in CPU-microseconds, replicas of services left out
- * @param serviceCpus CPUs that replicas of services hold for good
- * @param higherPriorityShares by the ordinal of a pending job's priority, the part (0 to 1) of the machine that work of higher
- *     priority is likely to take
+ * @param booting whether the machine is still booting; it has no images in its cache yet
+ * @param availableAtMicros when the machine can run tasks
+ * @param remainingCpuMicros the remaining work of its tasks, without service replicas, in CPU-microseconds
+ * @param serviceCpus the CPUs occupied by service replicas, which run indefinitely
+ * @param higherPriorityShares for each priority, by ordinal, the share (0 to 1) of the machine that work of higher
+ *     priority is expected to use
  */
 public record HostCapacity(
         MachineType type,
--- a/src/main/java/org/weldcourse/fleet/HostSupply.java
+++ b/src/main/java/org/weldcourse/fleet/HostSupply.java
@@ -3,9 +3,9 @@
 import java.util.Map;
 import org.weldcourse.jobs.JobSpec;
 
-/** What is left of a host as the plan assigns demand to it: whole slots for gangs and replicas, work for arrays. */
+/** Remaining capacity of a host during planning: slots for gang tasks and replicas, CPU time for array tasks. */
 final class HostSupply {
-    /** The part of a machine's time that work really gets, after fetches and gaps. */
+    /** Share of a machine's time that is available for tasks, after image fetches and gaps. */
     private static final double EFFICIENCY = 0.95;
 
     private final HostCapacity host;
@@ -13,7 +13,7 @@
     private double usedCpuMicros;
     private double serviceCpus;
 
-    /** All that the host has to give. Only one that is booting has slots: on others the admission found none. */
+    /** Creates the supply of a host. Only booting hosts have slots, as admission found no free ones on the others. */
     HostSupply(HostCapacity host) {
         this.host = host;
         this.serviceCpus = host.serviceCpus();
@@ -25,7 +25,7 @@
         return host.zone();
     }
 
-    /** How many tasks of a gang or service it has a place for. */
+    /** Returns how many tasks of a gang or service fit on the host. */
     int availableSlots(CapacityDemand demand) {
         if (slotCpus <= 0 || !allows(demand.job())) {
             return 0;
@@ -36,29 +36,29 @@
     }
 
     /**
-     * Takes places for tasks of a gang or service, no more than its zone may hold of them.
+     * Assigns slots to tasks of a gang or service, up to the job's limit per zone.
      *
-     * @param tasksByZone how many tasks of the job each zone holds; what is taken is added
-     * @return how many places were taken
+     * @param tasksByZone the number of the job's tasks in each zone; updated with the assigned slots
+     * @return the number of assigned slots
      */
     int assignSlots(CapacityDemand demand, int wanted, Map<String, Integer> tasksByZone) {
-        int taken = Math.min(Math.min(wanted, availableSlots(demand)), demand.remainingInZone(zone(), tasksByZone));
-        if (taken <= 0) {
+        int assigned = Math.min(Math.min(wanted, availableSlots(demand)), demand.remainingInZone(zone(), tasksByZone));
+        if (assigned <= 0) {
             return 0;
         }
-        tasksByZone.merge(zone(), taken, Integer::sum);
-        slotCpus -= taken * demand.job().cpus();
+        tasksByZone.merge(zone(), assigned, Integer::sum);
+        slotCpus -= assigned * demand.job().cpus();
         if (demand.job().isService()) {
-            serviceCpus += taken * demand.job().cpus();
+            serviceCpus += assigned * demand.job().cpus();
         } else {
-            usedCpuMicros += (double) taken * demand.job().cpus() * demand.runMicros();
+            usedCpuMicros += (double) assigned * demand.job().cpus() * demand.runMicros();
         }
-        return taken;
+        return assigned;
     }
 
-    /** The work of an array's tasks that it can do by then, in CPU-microseconds. */
+    /** Returns the work on array tasks that the host can finish by the deadline, in CPU-microseconds. */
     double availableWork(CapacityDemand demand, long deadlineMicros) {
-        // A new machine has no image yet; and tasks can't be split: a window of two and a half runs is worth two.
+        // A booting machine must fetch the image first. Tasks can't be split, so the number of runs is rounded down.
         long fetchMicros = host.booting() ? demand.fetchMicros(host.type()) : 0;
         long runs =
                 (deadlineMicros - host.availableAtMicros() - fetchMicros) / (demand.runMicros() + demand.gapMicros());
@@ -75,11 +75,11 @@
         return Math.max(0, totalCpuMicros - usedCpuMicros);
     }
 
-    /** Takes an array's work on, as far as it can be done by then; returns how much, in CPU-microseconds. */
+    /** Assigns as much of an array's work as the host can finish by the deadline; returns it in CPU-microseconds. */
     double assignWork(CapacityDemand demand, double wanted, long deadlineMicros) {
-        double taken = Math.min(wanted, availableWork(demand, deadlineMicros));
-        usedCpuMicros += taken;
-        return taken;
+        double assigned = Math.min(wanted, availableWork(demand, deadlineMicros));
+        usedCpuMicros += assigned;
+        return assigned;
     }
 
     private boolean allows(JobSpec job) {
--- a/src/main/java/org/weldcourse/fleet/LaunchCandidates.java
+++ b/src/main/java/org/weldcourse/fleet/LaunchCandidates.java
@@ -9,9 +9,9 @@
 import java.util.function.Predicate;
 import org.weldcourse.jobs.JobSpec;
 
-/** The offerings that machines could be launched of for a demand, and what its work costs on each. */
+/** Offerings suitable for a demand, with the cost of running its tasks on each. */
 final class LaunchCandidates {
-    /** How long a launched machine is expected to stay: boot time, which is charged too, is weighed against it. */
+    /** Expected lifetime of a launched machine, over which the cost of its boot time is spread. */
     private static final double EXPECTED_LIFETIME_MICROS = 180e6;
 
     private static final double[] NO_HIGHER_PRIORITY_SHARES = new double[JobSpec.Priority.values().length];
@@ -20,37 +20,37 @@
     private final Set<Offering> unavailable;
     private final long nowMicros;
 
-    /** Candidates of these types, but for offerings without capacity. */
+    /** Creates candidates of the given types, without unavailable offerings. */
     LaunchCandidates(List<MachineType> types, Set<Offering> unavailable, long nowMicros) {
         this.types = types;
         this.unavailable = unavailable;
         this.nowMicros = nowMicros;
     }
 
-    /** An offering, with the price per hour of a CPU that the demand can use of it, boot time included. */
+    /** An offering and its price per CPU-hour that the demand can use, including the cost of boot time. */
     record Candidate(Offering offering, MachineType type, double cost) {
         private static final Comparator<Candidate> BY_COST =
                 Comparator.comparingDouble(Candidate::cost).thenComparing(candidate -> candidate.offering.toString());
     }
 
-    /** All zones that the types are offered in, in order. */
+    /** Returns all zones in which the types are offered, sorted. */
     Set<String> zones() {
         Set<String> zones = new TreeSet<>();
         types.forEach(type -> zones.addAll(type.zones()));
         return zones;
     }
 
-    /** The cheapest candidate that meets a condition. */
+    /** Returns the cheapest candidate that meets a condition. */
     Optional<Candidate> cheapest(CapacityDemand demand, Predicate<Candidate> condition) {
         return candidatesFor(demand).stream().filter(condition).min(Candidate.BY_COST);
     }
 
-    /** The cheapest candidate that has done a task by then. */
+    /** Returns the cheapest candidate that can finish a first task by the deadline. */
     Optional<Candidate> cheapest(CapacityDemand demand, long deadlineMicros) {
         return cheapest(demand, candidate -> nowMicros + demand.firstRunMicros(candidate.type) <= deadlineMicros);
     }
 
-    /** When a new machine could have done a task at the earliest: what is due before that is late anyway. */
+    /** Returns when a new machine could finish a first task, with a margin; earlier deadlines can't be met. */
     long earliestFinishMicros(CapacityDemand demand) {
         Candidate fastest = null;
         for (Candidate candidate : candidatesFor(demand)) {
@@ -66,7 +66,7 @@
                         + demand.runMicros() / 5;
     }
 
-    /** What a machine that is launched now would have to give. */
+    /** Returns the capacity of a machine that is launched now. */
     HostSupply supply(Candidate candidate) {
         return new HostSupply(new HostCapacity(
                 candidate.type,
@@ -88,14 +88,14 @@
             }
             int slots = Math.max(1, type.tasksThatFit(job));
             int usedSlots = job.isGang() ? Math.min(slots, demand.tasks()) : slots;
-            double boot = 1 + type.bootMicros() / EXPECTED_LIFETIME_MICROS;
+            double bootCostFactor = 1 + type.bootMicros() / EXPECTED_LIFETIME_MICROS;
             for (String zone : type.zones()) {
                 for (boolean spot : new boolean[] {true, false}) {
                     Offering offering = new Offering(type.name(), zone, spot);
                     if (spot && !job.allowsSpot() || !job.allowsZone(zone) || unavailable.contains(offering)) {
                         continue;
                     }
-                    double cost = type.pricePerHour(spot) / (usedSlots * job.cpus()) * boot;
+                    double cost = type.pricePerHour(spot) / (usedSlots * job.cpus()) * bootCostFactor;
                     candidates.add(new Candidate(offering, type, cost));
                 }
             }
--- a/src/main/java/org/weldcourse/fleet/MachineInventory.java
+++ b/src/main/java/org/weldcourse/fleet/MachineInventory.java
@@ -9,8 +9,8 @@
 import org.weldcourse.runtime.ScheduledTask;
 
 /**
- * The cloud's machine list, reconciled with the machines that the leader knows of. The list lags: a machine that was
- * launched may be missing, and one that was deleted may still be listed.
+ * Reconciles the cloud's machine list with the leader's state. The list is eventually consistent: launched machines may
+ * be missing from it and deleted ones may still be on it.
  */
 final class MachineInventory {
     private static final long REFRESH_MICROS = 6_000_000;
@@ -20,14 +20,14 @@
     private final MachineTypeCatalog types;
     private final Clock clock;
     private final ScheduledTask autoscaler;
-    /** Machines whose deletion was confirmed: the lagging list and late heartbeats still name them for a while. */
+    /** Machines whose deletion is confirmed; outdated lists and delayed heartbeats may still mention them. */
     private final Set<String> deleted = new HashSet<>();
 
     private long nextRefreshMicros;
     private boolean refreshInFlight;
-    private boolean hasListed;
+    private boolean hasReceivedList;
 
-    /** An inventory that wakes the autoscaler once a list came, and does nothing more when its term is over. */
+    /** Creates an inventory that wakes the autoscaler after each list and ignores lists received after its term. */
     MachineInventory(
             ClusterState cluster, CloudClient cloud, MachineTypeCatalog types, Clock clock, ScheduledTask autoscaler) {
         this.cluster = cluster;
@@ -37,16 +37,16 @@
         this.autoscaler = autoscaler;
     }
 
-    /** Whether a list has come in this term. */
-    boolean hasListed() {
-        return hasListed;
+    /** Returns whether a list has been received in this term. */
+    boolean hasReceivedList() {
+        return hasReceivedList;
     }
 
     boolean isDeleted(String machine) {
         return deleted.contains(machine);
     }
 
-    /** Whether to list now: from time to time, and at once when a machine of unknown type sends heartbeats. */
+    /** Returns whether to fetch the list now: periodically, and at once if a machine of unknown type is running. */
     boolean isRefreshDue(long nowMicros) {
         for (Machine machine : cluster.machines.values()) {
             if (machine.type == null && machine.isUp()) {
@@ -56,7 +56,7 @@
         return nowMicros >= nextRefreshMicros && !refreshInFlight;
     }
 
-    /** Asks for the list; what it shows is taken over when it comes. */
+    /** Fetches the list and updates the leader's state from it. */
     void refresh(long nowMicros) {
         refreshInFlight = true;
         nextRefreshMicros = nowMicros + REFRESH_MICROS;
@@ -65,7 +65,7 @@
             if (!list.outcome().ok() || !autoscaler.isRunning()) {
                 return;
             }
-            hasListed = true;
+            hasReceivedList = true;
             for (CloudClient.ListedMachine listed : list.machines()) {
                 reconcile(listed, clock.nowMicros());
             }
@@ -85,7 +85,7 @@
         machine.starting = listed.starting();
     }
 
-    /** Takes note of machines that were launched now. */
+    /** Records machines that were just launched. */
     void recordLaunched(List<String> machines, Offering offering, long nowMicros) {
         for (String name : machines) {
             Machine machine = cluster.getOrAddMachine(name, nowMicros);
@@ -100,7 +100,7 @@
         machine.spot = offering.spot();
     }
 
-    /** Takes note of machines that the cloud deleted: nothing runs on them any more. */
+    /** Records machines whose deletion is confirmed; no task runs on them any more. */
     void recordDeleted(List<String> machines) {
         for (String name : machines) {
             Machine machine = cluster.machines.get(name);
--- a/src/main/java/org/weldcourse/fleet/MachineType.java
+++ b/src/main/java/org/weldcourse/fleet/MachineType.java
@@ -4,13 +4,13 @@
 import org.weldcourse.jobs.JobSpec;
 
 /**
- * A machine type on offer, with its current prices.
+ * A machine type that the cloud offers, with its current prices.
  *
  * @param cacheGb the size of the image cache
- * @param fetchGbPerSecond how fast images are fetched
- * @param onDemandPrice per hour, in the cloud's money
- * @param spotPrice per hour, in the cloud's money
- * @param bootMicros the usual time from the launch request until a machine is up, in microseconds
+ * @param fetchGbPerSecond the rate at which images are fetched
+ * @param onDemandPrice the price per hour, in the cloud's currency
+ * @param spotPrice the price per hour of a spot machine, in the cloud's currency
+ * @param bootMicros the usual time from the launch request until a machine has booted, in microseconds
  */
 public record MachineType(
         String name,
@@ -24,10 +24,10 @@
         long bootMicros,
         List<String> zones) {
 
-    /** Slack where amounts are compared: sums of decimal numbers are not exact. */
+    /** Tolerance for comparing resource amounts, as floating-point sums are inexact. */
     public static final double EPSILON = 1e-6;
 
-    /** Whether one task could ever run on an empty machine of this type. */
+    /** Returns whether a task of the job fits on an empty machine of this type. */
     public boolean fits(JobSpec job) {
         if (!job.allowsMachineType(name)
                 || job.cpus() > cpus + EPSILON
@@ -38,12 +38,12 @@
         return job.zone() == null || zones.contains(job.zone());
     }
 
-    /** How many tasks of the job an empty machine holds. */
+    /** Returns how many tasks of the job fit on an empty machine. */
     public int tasksThatFit(JobSpec job) {
         return tasksThatFit(job, cpus, gpus, memoryGb);
     }
 
-    /** How many tasks of the job these amounts hold. */
+    /** Returns how many tasks of the job fit into the given resources. */
     public static int tasksThatFit(JobSpec job, double cpus, double gpus, double memoryGb) {
         double tasks = Math.floor((cpus + EPSILON) / job.cpus());
         if (job.gpus() > 0) {
@@ -55,17 +55,17 @@
         return (int) Math.max(0, tasks);
     }
 
-    /** How long a machine fetches the job's image, in seconds. */
+    /** Returns the time to fetch the job's image, in seconds. */
     public double fetchSeconds(JobSpec job) {
         return job.imageGb() / Math.max(0.01, fetchGbPerSecond);
     }
 
-    /** The price per hour, as the cloud told it last. */
+    /** Returns the price per hour. */
     public double pricePerHour(boolean spot) {
         return spot ? spotPrice : onDemandPrice;
     }
 
-    /** The price of one CPU per hour. */
+    /** Returns the price per CPU and hour. */
     public double pricePerCpuHour(boolean spot) {
         return pricePerHour(spot) / cpus;
     }
--- a/src/main/java/org/weldcourse/fleet/MachineTypeCatalog.java
+++ b/src/main/java/org/weldcourse/fleet/MachineTypeCatalog.java
@@ -11,8 +11,9 @@
 import org.weldcourse.store.Transaction;
 
 /**
- * Keeps the machine types at hand on every node: from the record in the state service, so that a cloud outage
- * blinds nobody, and from the cloud where there is none yet or this node leads and wants current prices.
+ * Caches the machine types on every node. The leader fetches them from the cloud, for current prices, and records them
+ * in the store; other nodes read the record, so that they know the types during a cloud outage, and ask the cloud only
+ * if there is no record yet.
  */
 public final class MachineTypeCatalog extends ScheduledTask {
     private static final String KEY = "types";
@@ -26,9 +27,9 @@
     private boolean refreshInFlight;
 
     /**
-     * A catalog that is empty until it was started and has read the record or heard from the cloud.
+     * Creates a catalog that stays empty until it is started and has received the types from the store or the cloud.
      *
-     * @param leads whether this node leads
+     * @param leads returns whether this node is the leader
      */
     public MachineTypeCatalog(Store store, CloudClient cloud, Clock clock, Timers timers, BooleanSupplier leads) {
         super("types", clock, timers);
@@ -37,12 +38,12 @@
         this.leads = leads;
     }
 
-    /** The machine types as last heard; empty while they are unknown. */
+    /** Returns the machine types as last received; empty while they are unknown. */
     public List<MachineType> known() {
         return types;
     }
 
-    /** The machine type of this name, empty while it is unknown. */
+    /** Returns the machine type with this name, if it is known. */
     public Optional<MachineType> byName(String name) {
         for (MachineType type : types) {
             if (type.name().equals(name)) {
@@ -101,7 +102,7 @@
         });
     }
 
-    /** Only nodes without a record and the leader ask the cloud, so this is seldom written. */
+    /** Writes the record; writes are rare, as only the leader and nodes without a record fetch from the cloud. */
     private void writeRecord(Map<String, Object> body) {
         store.commit(new Transaction().put(KEY, body), commit -> {});
     }
--- a/src/main/java/org/weldcourse/fleet/ScaleIn.java
+++ b/src/main/java/org/weldcourse/fleet/ScaleIn.java
@@ -12,7 +12,7 @@
 import org.weldcourse.runtime.ScheduledTask;
 import org.weldcourse.store.RateLimiter;
 
-/** Deletes machines that {@link ScaleInPolicy} gives up, and idle ones that no warm pool needs, the dearest first. */
+/** Deletes the machines that {@link ScaleInPolicy} selects and surplus idle ones, the most expensive first. */
 final class ScaleIn {
     private static final Logger LOG = LoggerFactory.getLogger(ScaleIn.class);
 
@@ -27,7 +27,7 @@
     private final ScheduledTask autoscaler;
     private boolean requestInFlight;
 
-    /** Scale-in for a term; {@code spotIdleMicros}: how long a spot machine may be idle. */
+    /** Creates the scale-in of a term; {@code spotIdleMicros} is the idle time allowed for spot machines. */
     ScaleIn(
             ClusterState cluster,
             CloudClient cloud,
@@ -49,7 +49,7 @@
         this.autoscaler = autoscaler;
     }
 
-    /** Deletes what is of no use any more, but for idle machines that are reserved, unless a request is in flight. */
+    /** Requests the deletion of unneeded machines unless a request is in flight; reserved idle machines are kept. */
     void step(Set<String> reserved, long nowMicros) {
         if (requestInFlight) {
             return;
@@ -86,7 +86,7 @@
             if (reason.isPresent() && names.size() < CloudClient.MAX_MACHINES_PER_DELETE) {
                 if (!machine.deleting) {
                     LOG.info(
-                            "scale in: deletes {} ({}): {}",
+                            "scale in: deleting {} ({}): {}",
                             machine.name,
                             machine.type == null ? "?" : machine.type.name(),
                             reason.get().text());
@@ -101,7 +101,10 @@
         return machine.type == null ? 0 : machine.type.pricePerCpuHour(machine.spot);
     }
 
-    /** Whether it has been empty for about as long as it would take to have it back, a cheap one longer. */
+    /**
+     * Returns whether the machine has been idle for about the time that it takes to replace it. Spot machines are
+     * cheaper and are kept longer.
+     */
     private boolean isIdle(Machine machine, Set<String> reserved, long nowMicros) {
         long idleMicros = machine.spot ? spotIdleMicros : spotIdleMicros / 3;
         return machine.isUp()
--- a/src/main/java/org/weldcourse/fleet/ScaleInPolicy.java
+++ b/src/main/java/org/weldcourse/fleet/ScaleInPolicy.java
@@ -8,8 +8,8 @@
 import org.weldcourse.cluster.Machine;
 
 /**
- * Which machines a leader gives up: lost, faulty, reclaimed, or never up. Their deletion is the evidence that frees
- * their tasks. Idle machines are none of its concern.
+ * Selects machines to delete because they are lost, faulty, reclaimed or failed to boot. The confirmed deletion is the
+ * evidence that their tasks have ended. {@link ScaleIn} handles idle machines.
  */
 final class ScaleInPolicy {
     private static final long RECLAIM_MARGIN_MICROS = 1_000_000;
@@ -22,21 +22,21 @@
     private boolean mostInheritedMachinesReported = true;
     private Set<String> silentZones = Set.of();
 
-    /** The policy of a leader that was elected at this time. */
+    /** Creates the policy of a leader elected at {@code startedMicros}. */
     ScaleInPolicy(ClusterState cluster, HeartbeatTimeouts timeouts, long startedMicros) {
         this.cluster = cluster;
         this.timeouts = timeouts;
         this.startedMicros = startedMicros;
     }
 
-    /** Looks at the machines as a whole, before any single one is judged. */
+    /** Updates the cluster-wide observations that {@link #reason} uses; called before each round. */
     void assessCluster(long nowMicros) {
         mostMachinesReachable = mostMachinesReachable(nowMicros);
         mostInheritedMachinesReported = mostInheritedMachinesReported();
         silentZones = silentZones(nowMicros);
     }
 
-    /** Why the machine should be deleted now, empty when it should stay. */
+    /** Returns why the machine should be deleted now; empty if it should be kept. */
     Optional<ScaleInReason> reason(Machine machine, long nowMicros) {
         if (machine.deleting) {
             return Optional.of(ScaleInReason.NOT_CONFIRMED);
@@ -51,27 +51,27 @@
     }
 
     private Optional<ScaleInReason> reasonBeforeUp(Machine machine, long nowMicros) {
-        long waitedMicros = nowMicros - startedMicros;
+        long sinceElectionMicros = nowMicros - startedMicros;
         if (!machine.bookings.isEmpty() || machine.type == null) {
-            // Known only from an earlier leader's records, and not heard of since. One that holds replicas is given the
-            // time in which the others found the new leader: its lease will end silent, and its deletion lets them run
-            // elsewhere.
+            // The machine is known from the previous leader's records and has sent no heartbeat since. With service
+            // replicas the timeout is shorter once most other machines have reported, so that the replicas restart
+            // elsewhere sooner.
             boolean probablyDead = holdsReplicas(machine) && mostInheritedMachinesReported;
-            return waitedMicros > timeouts.inheritedLostMicros(probablyDead)
+            return sinceElectionMicros > timeouts.inheritedLostMicros(probablyDead)
                     ? Optional.of(ScaleInReason.LOST)
                     : Optional.empty();
         }
-        return BootTimeouts.isBootTimedOut(machine, nowMicros) && waitedMicros > timeouts.leaseMicros()
-                ? Optional.of(ScaleInReason.NEVER_UP)
+        return BootTimeouts.isBootTimedOut(machine, nowMicros) && sinceElectionMicros > timeouts.leaseMicros()
+                ? Optional.of(ScaleInReason.BOOT_TIMED_OUT)
                 : Optional.empty();
     }
 
     private Optional<ScaleInReason> reasonOnceUp(Machine machine, long nowMicros) {
         long silentMicros = nowMicros - machine.lastHeartbeatMicros;
         if (machine.reclaimAtMicros != Long.MAX_VALUE) {
-            // Announced and come to pass: its tasks need not hold their places for as long as in doubt.
-            boolean due = nowMicros > machine.reclaimAtMicros + RECLAIM_MARGIN_MICROS;
-            if (due && silentMicros > timeouts.reclaimedMicros()) {
+            // The reclaim was announced, so a shorter silence confirms it and frees the tasks sooner.
+            boolean reclaimTimePassed = nowMicros > machine.reclaimAtMicros + RECLAIM_MARGIN_MICROS;
+            if (reclaimTimePassed && silentMicros > timeouts.reclaimedMicros()) {
                 return Optional.of(ScaleInReason.RECLAIMED);
             }
             if (machine.bookings.isEmpty() && machine.unbookedTasks.isEmpty()) {
@@ -87,10 +87,10 @@
     }
 
     /**
-     * Whether not to wait for a silent machine's whole lease. A spot machine was most likely reclaimed, and one that
-     * died with replicas takes their time as long as it is waited for. But one that is cut off goes on working until
-     * its lease ends, and when a whole zone falls silent, so are its machines: if the cut is short, nothing is lost,
-     * and else no more than with an early deletion.
+     * Returns whether a silent machine may be deleted before its lease ends. A silent spot machine was most likely
+     * reclaimed, and service replicas on a dead machine stay down until it is deleted. In a silent zone, however, the
+     * machines are probably partitioned and run their tasks until the lease ends: waiting loses nothing if the
+     * partition is short, and no more than an early deletion if it is long.
      */
     private boolean isProbablyDead(Machine machine) {
         return (machine.spot || holdsReplicas(machine)) && !silentZones.contains(machine.zone);
@@ -102,36 +102,39 @@
     }
 
     /**
-     * When most machines fall silent or can't be reached together, the fault is on this side: their tasks may well be
-     * running.
+     * Returns whether at least half of the machines send heartbeats and receive the responses. Otherwise the fault is
+     * probably on the leader's side, and the tasks may still be running.
      */
     private boolean mostMachinesReachable(long nowMicros) {
         int up = 0;
-        int heard = 0;
+        int reachable = 0;
         for (Machine machine : cluster.machines.values()) {
             if (machine.isUp() && !machine.deleting) {
                 up++;
-                heard += nowMicros - machine.lastHeartbeatMicros <= timeouts.leaseMicros() && !machine.isCordoned()
+                reachable += nowMicros - machine.lastHeartbeatMicros <= timeouts.leaseMicros() && !machine.isCordoned()
                         ? 1
                         : 0;
             }
         }
-        return heard * 2 >= up;
+        return reachable * 2 >= up;
     }
 
     private boolean mostInheritedMachinesReported() {
-        int heard = 0;
+        int reported = 0;
         int booked = 0;
         for (Machine machine : cluster.machines.values()) {
             if (!machine.bookings.isEmpty()) {
                 booked++;
-                heard += machine.isUp() ? 1 : 0;
+                reported += machine.isUp() ? 1 : 0;
             }
         }
-        return heard * 2 >= booked;
+        return reported * 2 >= booked;
     }
 
-    /** Zones of whose on-demand machines most are silent: these don't die together. */
+    /**
+     * Returns the zones where most on-demand machines are silent. On-demand machines don't fail together, so the zone
+     * is probably unreachable.
+     */
     private Set<String> silentZones(long nowMicros) {
         Map<String, Integer> respondingMinusSilent = new HashMap<>();
         for (Machine machine : cluster.machines.values()) {
--- a/src/main/java/org/weldcourse/fleet/ScaleInReason.java
+++ b/src/main/java/org/weldcourse/fleet/ScaleInReason.java
@@ -2,23 +2,23 @@
 
 /** Why a machine is deleted. */
 enum ScaleInReason {
-    /** Asked for before, and not confirmed yet. */
+    /** The deletion was requested before but is not confirmed yet. */
     NOT_CONFIRMED("deletion not confirmed yet"),
-    /** It stopped by itself, by the cloud's word. */
+    /** The cloud reports that the machine stopped on its own. */
     FAILED("failed"),
-    /** Tasks of several jobs failed on it, and none succeeded since. */
+    /** Tasks of several jobs failed on the machine, and none has succeeded since. */
     FAULTY("faulty"),
-    /** It sent no heartbeat for too long. */
+    /** The machine has sent no heartbeat within the timeout. */
     LOST("no heartbeat"),
-    /** It did not boot in time. */
-    NEVER_UP("never came up"),
-    /** The cloud announced to reclaim it, and it is silent since. */
+    /** The machine did not boot in time. */
+    BOOT_TIMED_OUT("did not boot in time"),
+    /** The announced reclaim time has passed, and the machine sends no heartbeats. */
     RECLAIMED("reclaimed by the cloud"),
-    /** The cloud announced to reclaim it, and nothing runs on it. */
-    RECLAIM_ANNOUNCED("about to be reclaimed by the cloud, and empty"),
-    /** Its heartbeats arrive, answers don't reach it. */
-    UNREACHABLE("heartbeats arrive, answers don't reach it"),
-    /** Empty for long enough, and needed by no warm pool. */
+    /** The cloud has announced the machine's reclaim, and no task runs on it. */
+    RECLAIM_ANNOUNCED("reclaim announced by the cloud, no tasks left"),
+    /** The machine's heartbeats arrive, but responses don't reach it. */
+    UNREACHABLE("heartbeats arrive, but responses don't reach it"),
+    /** The machine has been idle for long enough, and no warm pool needs it. */
     IDLE("idle");
 
     private final String text;
@@ -27,7 +27,7 @@
         this.text = text;
     }
 
-    /** The reason in the log's words. */
+    /** Returns the reason as text for log messages. */
     String text() {
         return text;
     }
--- a/src/main/java/org/weldcourse/fleet/ScaleOut.java
+++ b/src/main/java/org/weldcourse/fleet/ScaleOut.java
@@ -16,18 +16,18 @@
 import org.weldcourse.store.RateLimiter;
 
 /**
- * Launches machines as {@link ScaleOutPlanner} plans it. Plans wait for one another: only what came of one shows what
- * is missing.
+ * Launches machines according to {@link ScaleOutPlanner}. The next plan waits for the responses to the previous one,
+ * because they determine what is still missing.
  */
 final class ScaleOut {
     private static final Logger LOG = LoggerFactory.getLogger(ScaleOut.class);
-    /** For so long an offering without capacity is not asked for again. */
+    /** Backoff for an offering without capacity. */
     private static final long NO_CAPACITY_BACKOFF_MICROS = 15_000_000;
-    /** And for so long after any other refusal. */
-    private static final long REFUSED_BACKOFF_MICROS = 2_000_000;
-    /** The next plan follows an answer so soon. */
+    /** Backoff for an offering after any other failure. */
+    private static final long FAILURE_BACKOFF_MICROS = 2_000_000;
+    /** Delay from a launch response to the next plan. */
     private static final long NEXT_PLAN_DELAY_MICROS = 50_000;
-    /** A machine on its way is expected no sooner than this, even when it is late. */
+    /** Minimum assumed time until a booting machine is available, even if it is overdue. */
     private static final long MIN_REMAINING_BOOT_MICROS = 5_000_000;
 
     private static final int MAX_MACHINES_PER_PLAN = 200;
@@ -43,7 +43,7 @@
     private final Clock clock;
     private final ScheduledTask autoscaler;
     private final Map<Offering, Long> backoffUntilMicros = new HashMap<>();
-    private final Queue<LaunchRequest> unanswered = new ArrayDeque<>();
+    private final Queue<LaunchRequest> timedOutRequests = new ArrayDeque<>();
     private long lastRequestNumber;
     private int requestsInFlight;
 
@@ -72,20 +72,16 @@
         this.autoscaler = autoscaler;
     }
 
-    /**
-     * Sends requests again that got no answer: they may have been carried out, and the same id launches nothing twice.
-     */
-    void retryUnanswered() {
-        while (!unanswered.isEmpty() && callLimiter.tryAcquire(1)) {
-            launch(unanswered.poll());
+    /** Retries timed-out launch requests. They may have been carried out; the same id prevents a second launch. */
+    void retryTimedOutRequests() {
+        while (!timedOutRequests.isEmpty() && callLimiter.tryAcquire(1)) {
+            launch(timedOutRequests.poll());
         }
     }
 
-    /**
-     * Launches what the demand and the warm pools are short of, unless the last plan's requests are still in flight.
-     */
+    /** Launches machines for the pending demand and the warm pools, unless requests of the last plan are in flight. */
     void step(List<CapacityDemand> pending, long nowMicros) {
-        if (requestsInFlight > 0 || failoverGracePeriod.isActive(inventory.hasListed(), nowMicros)) {
+        if (requestsInFlight > 0 || failoverGracePeriod.isActive(inventory.hasReceivedList(), nowMicros)) {
             return;
         }
         backoffUntilMicros.values().removeIf(until -> until <= nowMicros);
@@ -103,7 +99,7 @@
         }
     }
 
-    /** The fencing token is this term's alone and the number never repeats: no id is used twice. */
+    /** Returns a unique id: the fencing token is unique to the term, the number within it. */
     private String nextRequestId() {
         lastRequestNumber++;
         return "w-" + fencingToken + "-" + lastRequestNumber;
@@ -119,8 +115,8 @@
             switch (launch.outcome()) {
                 case OK -> onLaunched(request, launch.machines());
                 case NO_CAPACITY -> backOff(request.offering, NO_CAPACITY_BACKOFF_MICROS);
-                case UNKNOWN -> unanswered.add(request);
-                case RATE_LIMITED, UNAVAILABLE, INVALID -> backOff(request.offering, REFUSED_BACKOFF_MICROS);
+                case UNKNOWN -> timedOutRequests.add(request);
+                case RATE_LIMITED, UNAVAILABLE, INVALID -> backOff(request.offering, FAILURE_BACKOFF_MICROS);
             }
             autoscaler.wakeIn(NEXT_PLAN_DELAY_MICROS);
         });
--- a/src/main/java/org/weldcourse/fleet/ScaleOutPlanner.java
+++ b/src/main/java/org/weldcourse/fleet/ScaleOutPlanner.java
@@ -11,18 +11,18 @@
 import org.weldcourse.fleet.LaunchCandidates.Candidate;
 
 /**
- * Which machines to launch for pending work, as a pure function. The tasks of arrays share the machines that are up or
- * on their way as far as those can do the work in time; what they can't, and gangs, get new ones.
+ * Plans which machines to launch for pending work, as a pure function. Array tasks use running and booting machines
+ * that can finish them in time; gangs and services use booting ones. New machines are launched for the rest.
  */
 public final class ScaleOutPlanner {
-    /** A shortfall below this part of a new machine's work is not worth a machine. */
+    /** Minimum share of a new machine's capacity that must be used to justify launching it. */
     private static final double MIN_NEW_MACHINE_UTILIZATION = 0.35;
 
     private final LaunchCandidates candidates;
     private final int maxMachines;
     private final List<HostSupply> supplies = new ArrayList<>();
     private final List<Offering> launches = new ArrayList<>();
-    /** By class, the work of jobs so far that was too little for a machine of its own, in CPU-microseconds. */
+    /** For each job class, work that did not justify a new machine on its own, in CPU-microseconds. */
     private final Map<String, Double> deferredWork = new HashMap<>();
 
     private ScaleOutPlanner(List<HostCapacity> hosts, LaunchCandidates candidates, int maxMachines) {
@@ -32,11 +32,11 @@
     }
 
     /**
-     * Plans what to launch for the demand, in its order.
+     * Plans the launches for the demand, in the given order.
      *
-     * @param hosts the machines that are up or on their way
-     * @param unavailable offerings that the cloud has no capacity of at the moment
-     * @param maxMachines the most machines to launch
+     * @param hosts the running and booting machines
+     * @param unavailable the offerings that currently have no capacity
+     * @param maxMachines the maximum number of machines to launch
      */
     public static List<ScaleOutRequest> plan(
             List<CapacityDemand> demand,
@@ -66,9 +66,9 @@
     }
 
     /**
-     * New places for a gang that found too few, or for replicas. A gang that must be in one zone gets them where the
-     * fewest are missing. Those that are free count for that choice only: others may take them before the rest is up,
-     * and what is launched too much is soon put to use by arrays, as machines that gangs fit on cost them no more.
+     * Plans slots for a gang or for service replicas. A single-zone gang gets them in the zone where the missing slots
+     * cost the least. Free slots on running machines count only for the choice of the zone: other jobs may take them
+     * before the new machines have booted. Array tasks soon use any surplus machines, at no higher cost.
      */
     private void planSlots(CapacityDemand demand) {
         if (!demand.job().singleZone()) {
@@ -92,15 +92,15 @@
         if (bestCost > 0) {
             launchForSlots(demand, best::equals);
         } else {
-            // What is on its way suffices, but it is spoken for now: the next gang must not count on it too.
+            // The booting machines suffice; their slots are assigned so that the next gang does not count on them too.
             int wanted = demand.tasks() - demand.freeSlotsByZone().getOrDefault(best, 0);
             assignSlots(demand, best::equals, wanted, new HashMap<>(demand.tasksByZone()));
         }
     }
 
     /**
-     * What the places of a gang cost that this zone is short of: 0 when none is missing, infinity when none can be
-     * had.
+     * Returns the cost of the slots that a gang lacks in a zone: 0 if none are missing, infinity if no offering
+     * provides them.
      */
     private double costOfMissingSlots(CapacityDemand demand, String zone) {
         int missing = demand.tasks() - demand.freeSlotsByZone().getOrDefault(zone, 0);
@@ -121,9 +121,9 @@
 
     private void launchForSlots(CapacityDemand demand, Predicate<String> inZone) {
         Map<String, Integer> tasksByZone = new HashMap<>(demand.tasksByZone());
-        int left = assignSlots(demand, inZone, demand.tasks(), tasksByZone);
-        while (left > 0 && launches.size() < maxMachines) {
-            // A zone that may hold no more of a spread job would be launched in for ever.
+        int remaining = assignSlots(demand, inZone, demand.tasks(), tasksByZone);
+        while (remaining > 0 && launches.size() < maxMachines) {
+            // Without the zone limit check, this loop would keep launching machines that the job can't use.
             Optional<Candidate> cheapest = candidates.cheapest(demand, candidate -> {
                 String zone = candidate.offering().zone();
                 return inZone.test(zone) && demand.remainingInZone(zone, tasksByZone) > 0;
@@ -131,47 +131,47 @@
             if (cheapest.isEmpty()) {
                 return;
             }
-            left -= launch(cheapest.get()).assignSlots(demand, left, tasksByZone);
+            remaining -= launch(cheapest.get()).assignSlots(demand, remaining, tasksByZone);
         }
     }
 
-    /** Takes places on machines that are on their way, and returns how many are still missing. */
+    /** Assigns slots on booting machines and returns how many are still missing. */
     private int assignSlots(
             CapacityDemand demand, Predicate<String> inZone, int wanted, Map<String, Integer> tasksByZone) {
-        int left = wanted;
+        int remaining = wanted;
         for (HostSupply supply : supplies) {
             if (inZone.test(supply.zone())) {
-                left -= supply.assignSlots(demand, left, tasksByZone);
+                remaining -= supply.assignSlots(demand, remaining, tasksByZone);
             }
         }
-        return left;
+        return remaining;
     }
 
-    /** The work of an array's tasks goes to machines that can do it in time, and the rest to new ones. */
+    /** Assigns an array's work to machines that can finish it in time, and plans new machines for the rest. */
     private void planWork(CapacityDemand demand) {
         String jobClass = demand.job().jobClass();
-        double left =
+        double remaining =
                 (double) demand.tasks() * demand.runMicros() * demand.job().cpus();
         long deadlineMicros = Math.max(demand.deadlineMicros(), candidates.earliestFinishMicros(demand));
         for (HostSupply supply : supplies) {
-            left -= supply.assignWork(demand, left, deadlineMicros);
+            remaining -= supply.assignWork(demand, remaining, deadlineMicros);
         }
-        Double carried = deferredWork.remove(jobClass);
-        left += carried == null ? 0 : carried;
-        while (left > 0 && launches.size() < maxMachines) {
+        Double deferred = deferredWork.remove(jobClass);
+        remaining += deferred == null ? 0 : deferred;
+        while (remaining > 0 && launches.size() < maxMachines) {
             Optional<Candidate> cheapest = candidates.cheapest(demand, deadlineMicros);
             if (cheapest.isEmpty()) {
                 return;
             }
-            double work = candidates.supply(cheapest.get()).availableWork(demand, deadlineMicros);
-            if (work <= 0) {
+            double machineWork = candidates.supply(cheapest.get()).availableWork(demand, deadlineMicros);
+            if (machineWork <= 0) {
                 return;
             }
-            if (left < MIN_NEW_MACHINE_UTILIZATION * work && !supplies.isEmpty()) {
-                deferredWork.put(jobClass, left);
+            if (remaining < MIN_NEW_MACHINE_UTILIZATION * machineWork && !supplies.isEmpty()) {
+                deferredWork.put(jobClass, remaining);
                 return;
             }
-            left -= launch(cheapest.get()).assignWork(demand, left, deadlineMicros);
+            remaining -= launch(cheapest.get()).assignWork(demand, remaining, deadlineMicros);
         }
     }
 
--- a/src/main/java/org/weldcourse/fleet/ScaleOutRequest.java
+++ b/src/main/java/org/weldcourse/fleet/ScaleOutRequest.java
@@ -1,4 +1,4 @@
 package org.weldcourse.fleet;
 
-/** So many machines to launch of one offering. */
+/** A number of machines of one offering to launch. */
 public record ScaleOutRequest(Offering offering, int count) {}
--- a/src/main/java/org/weldcourse/fleet/WarmPools.java
+++ b/src/main/java/org/weldcourse/fleet/WarmPools.java
@@ -12,11 +12,11 @@
 import org.weldcourse.settings.Settings.ServiceLevelObjective;
 
 /**
- * The warm pools: for each class of jobs with an objective (SLO) for its start, and for services, machines that could
- * take a job at once. Work of lower priority may use them meanwhile.
+ * Warm pools: machines that can start a job at once, for each job class with a start-time objective (SLO) and for
+ * services. Work of lower priority may use them in the meantime.
  */
 final class WarmPools {
-    /** How fast the measured load follows the true one. */
+    /** Time constant of the exponential smoothing of the load. */
     private static final double LOAD_SMOOTHING_MICROS = 60e6;
 
     private final ClusterState cluster;
@@ -24,11 +24,11 @@
     private final OperatorSettings settings;
     private final Map<String, Pool> pools = new HashMap<>();
 
-    /** What is known of a class: its latest job stands for those to come. */
+    /** State of one job class. Its latest job is taken as the prediction for future ones. */
     private static final class Pool {
         JobSpec latestJob;
         long lastSeenMicros;
-        /** The part of the CPUs it may use that it had of late, 0 to 1. */
+        /** Smoothed share, 0 to 1, of the usable CPUs that the class occupies. */
         double load;
 
         boolean canUse(Machine machine) {
@@ -42,10 +42,7 @@
         this.settings = settings;
     }
 
-    /**
-     * Takes note of a job. All the time until a service's replica runs is time not served, with or without an
-     * objective.
-     */
+    /** Records a job. Services always get a pool, as a service is unavailable until its replicas run. */
     void jobSeen(JobSpec job, long nowMicros) {
         if (job.isService() || hasStartObjective(job)) {
             Pool pool = pools.computeIfAbsent(job.jobClass(), jobClass -> new Pool());
@@ -64,39 +61,40 @@
         return false;
     }
 
-    /** A class that has not been seen for long gets no machine kept warm for it. */
+    /** Removes the pools of job classes that have had no job within the retention time. */
     void dropUnused(long nowMicros) {
         pools.values().removeIf(pool -> nowMicros - pool.lastSeenMicros > settings.warmPoolRetentionMicros());
     }
 
-    /** Measures what the classes use, once in each step of the autoscaler. */
+    /** Updates the load of each class; called once in each step of the autoscaler. */
     void measureLoad() {
-        Map<String, Double> used = new HashMap<>();
-        Map<String, Double> usable = new HashMap<>();
+        Map<String, Double> usedCpus = new HashMap<>();
+        Map<String, Double> usableCpus = new HashMap<>();
         for (Machine machine : cluster.machines.values()) {
             if (!machine.isUp() || machine.type == null) {
                 continue;
             }
             for (Map.Entry<String, Pool> entry : pools.entrySet()) {
                 if (entry.getValue().canUse(machine)) {
-                    usable.merge(entry.getKey(), machine.type.cpus(), Double::sum);
+                    usableCpus.merge(entry.getKey(), machine.type.cpus(), Double::sum);
                 }
             }
             for (Booking booking : machine.bookings.values()) {
-                used.merge(booking.job().spec().jobClass(), booking.job().spec().cpus(), Double::sum);
+                usedCpus.merge(
+                        booking.job().spec().jobClass(), booking.job().spec().cpus(), Double::sum);
             }
         }
         pools.forEach((jobClass, pool) -> {
-            double currentLoad =
-                    Math.min(1, used.getOrDefault(jobClass, 0.0) / Math.max(1, usable.getOrDefault(jobClass, 0.0)));
+            double currentLoad = Math.min(
+                    1, usedCpus.getOrDefault(jobClass, 0.0) / Math.max(1, usableCpus.getOrDefault(jobClass, 0.0)));
             pool.load += (currentLoad - pool.load) * Autoscaler.STEP_MICROS / LOAD_SMOOTHING_MICROS;
         });
     }
 
     /**
-     * By the ordinal of a priority, the part (0 to 1) of such a machine that classes of higher priority are likely to
-     * take from it. Classes of the same priority and below preempt nothing, so that what they take is part of the work
-     * that is planned for.
+     * Returns, for each priority by ordinal, the share (0 to 1) of the machine that classes of higher priority are
+     * expected to use. Classes of the same or a lower priority can't preempt, so their use is already part of the
+     * planned work.
      */
     double[] higherPriorityShares(Machine machine) {
         double[] shares = new double[JobSpec.Priority.values().length];
@@ -110,7 +108,7 @@
         return shares;
     }
 
-    /** The highest priority of the classes that could use such a machine, or null. */
+    /** Returns the highest priority among the classes that can use the machine, or null if there are none. */
     JobSpec.Priority highestPriority(Machine machine) {
         JobSpec.Priority highest = null;
         for (Pool pool : pools.values()) {
@@ -122,7 +120,7 @@
         return highest;
     }
 
-    /** What the pools are short of, but for classes whose pending jobs are scaled out for anyway. */
+    /** Returns the demand of pools below their size, except for classes with pending demand of their own. */
     List<CapacityDemand> shortfall(List<CapacityDemand> pending, long nowMicros) {
         List<CapacityDemand> shortfall = new ArrayList<>();
         for (Pool pool : pools.values()) {
@@ -137,7 +135,7 @@
         return shortfall;
     }
 
-    /** The machines that the pools can spare now. */
+    /** Returns how many machines each pool can spare now. */
     Surplus surplus(long nowMicros) {
         Map<String, Integer> machines = new HashMap<>();
         pools.forEach((jobClass, pool) -> machines.put(jobClass, surplus(pool.latestJob, nowMicros)));
@@ -152,7 +150,7 @@
         return available - settings.warmPoolSize();
     }
 
-    /** Whether a machine, up or on its way, could take such a job without waiting for its equals. */
+    /** Returns whether a running or booting machine could start the job, preempting only lower-priority work. */
     private static boolean canHost(Machine machine, JobSpec job, long nowMicros) {
         if (machine.type == null
                 || machine.deleting
@@ -172,7 +170,7 @@
         return cpus + MachineType.EPSILON >= job.cpus();
     }
 
-    /** How many machines each pool can spare, counted down as they are scaled in. */
+    /** The number of machines that each pool can spare, decremented as machines are scaled in. */
     final class Surplus {
         private final Map<String, Integer> machines;
         private final long nowMicros;
@@ -182,7 +180,7 @@
             this.nowMicros = nowMicros;
         }
 
-        /** Takes the machine out of the pools that it belongs to; false when one of them can't spare it. */
+        /** Removes the machine from the pools it belongs to; returns false if one of them can't spare it. */
         boolean tryRemove(Machine machine) {
             for (Map.Entry<String, Pool> entry : pools.entrySet()) {
                 if (canHost(machine, entry.getValue().latestJob, nowMicros)) {
--- a/src/main/java/org/weldcourse/fleet/package-info.java
+++ b/src/main/java/org/weldcourse/fleet/package-info.java
@@ -1,13 +1,14 @@
 /**
- * Scale-out and scale-in of the machines that the cloud rents, by the leader alone.
+ * Scale-out and scale-in of cloud machines, performed by the leader.
  *
- * <p>{@link org.weldcourse.fleet.Autoscaler} runs a step each second: machines that are idle, lost, faulty or never came
- * up are deleted ({@code ScaleIn}, {@code ScaleInPolicy}), and machines are launched for pending work and for the warm
+ * <p>{@link org.weldcourse.fleet.Autoscaler} runs once a second. It deletes machines that are idle, lost, faulty or
+ * failed to boot ({@code ScaleIn}, {@code ScaleInPolicy}), and launches machines for pending work and for the warm
  * pools ({@code ScaleOut}, {@link org.weldcourse.fleet.ScaleOutPlanner}, {@code WarmPools}). {@code MachineInventory}
- * reconciles the cloud's lagging list with what heartbeats tell. {@link org.weldcourse.fleet.CloudClient} is the client of
- * the cloud API, whose words on the wire are mapped in {@code CloudCodec}. {@link
- * org.weldcourse.fleet.MachineTypeCatalog} keeps the machine types at hand on every node.
+ * reconciles the cloud's eventually consistent machine list with the machines known from heartbeats. {@link
+ * org.weldcourse.fleet.CloudClient} is the client of the cloud API, and {@code CloudCodec} maps its JSON names. {@link
+ * org.weldcourse.fleet.MachineTypeCatalog} caches the machine types on every node.
  *
- * <p>Times are microseconds, amounts CPUs, GPUs and GB, work CPU-microseconds, and prices in the cloud's money per hour.
+ * <p>Times are in microseconds, memory and images in GB, work in CPU-microseconds, and prices per hour in the cloud's
+ * currency.
  */
 package org.weldcourse.fleet;
--- a/src/main/java/org/weldcourse/store/RetryingCommit.java
+++ b/src/main/java/org/weldcourse/store/RetryingCommit.java
@@ -17,17 +17,17 @@
     private final Transaction transaction;
     private final BooleanSupplier stillNeeded;
     private final Callback callback;
-    private boolean afterUnansweredAttempt;
+    private boolean afterTimeout;
 
     /** Receives the definite outcome. */
     public interface Callback {
         /**
          * Called once.
          *
-         * @param afterUnansweredAttempt whether an earlier attempt timed out. That attempt may have been applied and be
+         * @param afterTimeout whether an earlier attempt timed out. That attempt may have been applied and be
          *     the cause of {@link Outcome#REFUSED}; the keys must be read back to find out.
          */
-        void accept(Store.Commit commit, boolean afterUnansweredAttempt);
+        void accept(Store.Commit commit, boolean afterTimeout);
     }
 
     private RetryingCommit(
@@ -57,10 +57,10 @@
                 return;
             }
             if (isDefinite(commit.outcome())) {
-                callback.accept(commit, afterUnansweredAttempt);
+                callback.accept(commit, afterTimeout);
                 return;
             }
-            afterUnansweredAttempt |= commit.outcome() == Outcome.UNKNOWN;
+            afterTimeout |= commit.outcome() == Outcome.UNKNOWN;
             timers.after(RETRY_MICROS, this::attempt);
         });
     }
--- a/src/main/java/org/weldcourse/store/StoreCodec.java
+++ b/src/main/java/org/weldcourse/store/StoreCodec.java
@@ -95,7 +95,7 @@
         return events;
     }
 
-    /** Maps an HTTP status to an outcome; 0 means no response and -1 not sent (see {@link Caller.Answer}). */
+    /** Maps an HTTP status to an outcome; 0 means no response and -1 means that the request was not sent. */
     static Outcome outcome(int status) {
         return switch (status) {
             case 200 -> Outcome.OK;
--- a/src/test/java/org/weldcourse/fleet/CloudClientTest.java
+++ b/src/test/java/org/weldcourse/fleet/CloudClientTest.java
@@ -11,25 +11,25 @@
 import org.weldcourse.http.Caller;
 import org.weldcourse.http.Json;
 
-/** The cloud's words on the wire, and what its answers mean. */
+/** Tests the requests sent to the cloud API and the outcomes derived from its responses. */
 class CloudClientTest {
     private static final Offering SPOT = new Offering("small", "a", true);
 
     private final List<Caller.Call> calls = new ArrayList<>();
-    private Caller.Answer answer = Caller.Answer.UNANSWERED;
+    private Caller.Answer response = Caller.Answer.UNANSWERED;
     private final CloudClient cloud = new CloudClient(
             (call, done) -> {
                 calls.add(call);
-                done.accept(answer);
+                done.accept(response);
             },
             "cloud:1");
 
-    private static Caller.Answer answer(int status, Object... body) {
+    private static Caller.Answer response(int status, Object... body) {
         return new Caller.Answer(status, Json.of(body));
     }
 
-    private Outcome outcomeOf(Caller.Answer answered) {
-        answer = answered;
+    private Outcome outcomeOf(Caller.Answer nextResponse) {
+        response = nextResponse;
         List<Outcome> outcomes = new ArrayList<>();
         cloud.delete(List.of("m-1"), outcomes::add);
         cloud.launch("w-1-1", SPOT, 3, launch -> outcomes.add(launch.outcome()));
@@ -41,20 +41,20 @@
     }
 
     @Test
-    void everyAnswerSaysWhatWentWrong() {
-        assertEquals(Outcome.OK, outcomeOf(answer(200)));
-        assertEquals(Outcome.NO_CAPACITY, outcomeOf(answer(503, "error", "no capacity")));
-        assertEquals(Outcome.UNAVAILABLE, outcomeOf(answer(503, "error", "trouble")));
+    void mapsStatusAndErrorToOutcome() {
+        assertEquals(Outcome.OK, outcomeOf(response(200)));
+        assertEquals(Outcome.NO_CAPACITY, outcomeOf(response(503, "error", "no capacity")));
+        assertEquals(Outcome.UNAVAILABLE, outcomeOf(response(503, "error", "trouble")));
         assertEquals(Outcome.UNAVAILABLE, outcomeOf(Caller.Answer.NOT_SENT));
-        assertEquals(Outcome.RATE_LIMITED, outcomeOf(answer(429)));
+        assertEquals(Outcome.RATE_LIMITED, outcomeOf(response(429)));
         assertEquals(Outcome.UNKNOWN, outcomeOf(Caller.Answer.UNANSWERED));
-        assertEquals(Outcome.INVALID, outcomeOf(answer(400)));
-        assertEquals(Outcome.INVALID, outcomeOf(answer(500)));
+        assertEquals(Outcome.INVALID, outcomeOf(response(400)));
+        assertEquals(Outcome.INVALID, outcomeOf(response(500)));
     }
 
     @Test
-    void aLaunchNamesItsRequestAndOffering() {
-        answer = answer(200, "forges", List.of("m-1", 7, "m-2"));
+    void launchSendsRequestIdAndOffering() {
+        response = response(200, "forges", List.of("m-1", 7, "m-2"));
         cloud.launch("w-4-1", SPOT, 3, launch -> assertEquals(List.of("m-1", "m-2"), launch.machines()));
         Caller.Call call = calls.get(0);
         assertEquals("POST /machines", call.method() + " " + call.path());
@@ -62,10 +62,11 @@
     }
 
     @Test
-    void aListIsReadToItsLastPage() {
+    void listReadsAllPages() {
         List<Caller.Answer> pages = new ArrayList<>(List.of(
-                answer(200, "forges", List.of(machine("m-1", "starting"), Map.of("heat", "failed")), "has_next", true),
-                answer(200, "forges", List.of(machine("m-2", "failed")), "has_next", false)));
+                response(
+                        200, "forges", List.of(machine("m-1", "starting"), Map.of("heat", "failed")), "has_next", true),
+                response(200, "forges", List.of(machine("m-2", "failed")), "has_next", false)));
         List<String> paths = new ArrayList<>();
         CloudClient paged = new CloudClient(
                 (call, done) -> {
@@ -84,9 +85,9 @@
     }
 
     @Test
-    void aListWithoutItsLastPageIsNone() {
+    void listFailsWhenAPageFails() {
         List<Caller.Answer> pages = new ArrayList<>(
-                List.of(answer(200, "forges", List.of(machine("m-1", "running")), "has_next", true), answer(429)));
+                List.of(response(200, "forges", List.of(machine("m-1", "running")), "has_next", true), response(429)));
         List<CloudClient.MachineList> lists = new ArrayList<>();
         new CloudClient((call, done) -> done.accept(pages.remove(0)), "cloud:1").list(lists::add);
         assertEquals(List.of(new CloudClient.MachineList(Outcome.RATE_LIMITED, List.of())), lists);
--- a/src/test/java/org/weldcourse/fleet/ScaleInPolicyTest.java
+++ b/src/test/java/org/weldcourse/fleet/ScaleInPolicyTest.java
@@ -10,30 +10,30 @@
 import org.weldcourse.cluster.Machine;
 import org.weldcourse.settings.Settings;
 
-/** Which machines are given up, when, and why. */
+/** Tests which machines are deleted, when, and for which reason. */
 class ScaleInPolicyTest {
     private static final long SECOND = 1_000_000;
     private static final long NOW = 1000 * SECOND;
     private static final MachineType SMALL =
             new MachineType("small", 4, 0, 16, 100, 1, 0.4, 0.2, 10 * SECOND, List.of("a", "b"));
-    /** Heartbeats every 4 s, leases of 20 s. */
+    /** Heartbeat interval of 4 s, lease of 20 s. */
     private static final Settings.Workers WORKERS =
             new Settings.Workers(4 * SECOND, 20 * SECOND, 60 * SECOND, 5 * SECOND, 45 * SECOND);
 
     private final ClusterState cluster = new ClusterState();
     private final ScaleInPolicy policy = new ScaleInPolicy(cluster, new HeartbeatTimeouts(WORKERS), 0);
 
-    /** Most machines are heard, in both zones, so that one that is silent is to blame itself. */
+    /** Adds responsive machines in both zones, so that a silent machine is not attributed to a network fault. */
     @BeforeEach
-    void heardMachines() {
+    void addResponsiveMachines() {
         for (String zone : List.of("a", "b")) {
             for (int i = 0; i < 4; i++) {
-                heard(zone + i, zone, false, 1);
+                addMachine(zone + i, zone, false, 1);
             }
         }
     }
 
-    private Machine heard(String name, String zone, boolean spot, long silentSeconds) {
+    private Machine addMachine(String name, String zone, boolean spot, long silentSeconds) {
         Machine machine = cluster.getOrAddMachine(name, 0);
         machine.type = SMALL;
         machine.zone = zone;
@@ -48,35 +48,35 @@
     }
 
     @Test
-    void silentMachinesAreLostAfterTheirLeaseAndSpotOnesSooner() {
-        assertEquals(Optional.empty(), reason(heard("m", "a", false, 20)));
-        assertEquals(Optional.of(ScaleInReason.LOST), reason(heard("m", "a", false, 21)));
-        assertEquals(Optional.empty(), reason(heard("m", "a", true, 12)));
-        assertEquals(Optional.of(ScaleInReason.LOST), reason(heard("m", "a", true, 13)));
+    void silentMachinesAreLostAfterTheirLeaseAndSpotMachinesSooner() {
+        assertEquals(Optional.empty(), reason(addMachine("m", "a", false, 20)));
+        assertEquals(Optional.of(ScaleInReason.LOST), reason(addMachine("m", "a", false, 21)));
+        assertEquals(Optional.empty(), reason(addMachine("m", "a", true, 12)));
+        assertEquals(Optional.of(ScaleInReason.LOST), reason(addMachine("m", "a", true, 13)));
     }
 
     @Test
-    void spotMachinesOfASilentZoneAreGivenTheirWholeLease() {
+    void spotMachinesInAnUnreachableZoneAreKeptForTheFullLease() {
         for (int i = 0; i < 3; i++) {
-            heard("a" + i, "a", false, 9);
+            addMachine("a" + i, "a", false, 9);
         }
-        assertEquals(Optional.empty(), reason(heard("m", "a", true, 13)));
-        assertEquals(Optional.of(ScaleInReason.LOST), reason(heard("m", "a", true, 21)));
-        assertEquals(Optional.of(ScaleInReason.LOST), reason(heard("n", "b", true, 13)));
+        assertEquals(Optional.empty(), reason(addMachine("m", "a", true, 13)));
+        assertEquals(Optional.of(ScaleInReason.LOST), reason(addMachine("m", "a", true, 21)));
+        assertEquals(Optional.of(ScaleInReason.LOST), reason(addMachine("n", "b", true, 13)));
     }
 
     @Test
-    void whenMostAreSilentTheFaultIsHereAndTheyAreGivenTwiceTheTime() {
+    void lostTimeoutIsDoubledWhenMostMachinesAreSilent() {
         cluster.machines.values().forEach(machine -> machine.lastHeartbeatMicros = NOW - 39 * SECOND);
-        Machine machine = heard("m", "a", false, 39);
+        Machine machine = addMachine("m", "a", false, 39);
         assertEquals(Optional.empty(), reason(machine));
         machine.lastHeartbeatMicros = NOW - 41 * SECOND;
         assertEquals(Optional.of(ScaleInReason.LOST), reason(machine));
     }
 
     @Test
-    void reclaimedMachinesAreNotWaitedFor() {
-        Machine machine = heard("m", "a", true, 9);
+    void reclaimedMachinesAreDeletedEarly() {
+        Machine machine = addMachine("m", "a", true, 9);
         machine.reclaimAtMicros = NOW - 2 * SECOND;
         assertEquals(Optional.of(ScaleInReason.RECLAIMED), reason(machine));
         machine.reclaimAtMicros = NOW + 20 * SECOND;
@@ -84,17 +84,17 @@
     }
 
     @Test
-    void machinesThatNeverCameUpAreDeletedOnceTheyAreNotWorthTheirPrice() {
+    void machinesThatDoNotBootAreDeletedAfterTheBootTimeout() {
         Machine machine = cluster.getOrAddMachine("m", NOW - 58 * SECOND);
         machine.type = SMALL;
         assertEquals(Optional.empty(), reason(machine));
         machine.rentedMicros = NOW - 59 * SECOND;
-        assertEquals(Optional.of(ScaleInReason.NEVER_UP), reason(machine));
+        assertEquals(Optional.of(ScaleInReason.BOOT_TIMED_OUT), reason(machine));
     }
 
     @Test
-    void faultsOfTheMachineItselfComeFirst() {
-        Machine machine = heard("m", "a", false, 1);
+    void machineFaultsTakePrecedence() {
+        Machine machine = addMachine("m", "a", false, 1);
         assertEquals(Optional.empty(), reason(machine));
         machine.failedJobs.addAll(List.of("req-000001", "req-000002"));
         assertEquals(Optional.of(ScaleInReason.FAULTY), reason(machine));
--- a/src/test/java/org/weldcourse/fleet/ScaleOutPlannerTest.java
+++ b/src/test/java/org/weldcourse/fleet/ScaleOutPlannerTest.java
@@ -12,7 +12,7 @@
 import org.weldcourse.jobs.JobSpecCodec;
 import org.weldcourse.simulation.JobBodies;
 
-/** What is launched for which capacity demand. */
+/** Tests which machines are planned for a given capacity demand. */
 class ScaleOutPlannerTest {
     private static final long SECOND = 1_000_000;
     private static final MachineType LARGE =
@@ -22,10 +22,10 @@
         return JobSpecCodec.decode(Json.objectOrEmpty(Json.bytes(JobBodies.jobBody("req-000001", changes))));
     }
 
-    private static HostCapacity up(double busyCpuSeconds, double takenShare) {
-        // What is more important than the least takes its part from that alone.
+    private static HostCapacity runningHost(double remainingCpuSeconds, double reservedShare) {
+        // The share of higher-priority work applies only to jobs of the lowest priority.
         return new HostCapacity(
-                LARGE, "a", true, false, 0, busyCpuSeconds * SECOND, 0, new double[] {0, 0, 0, takenShare});
+                LARGE, "a", true, false, 0, remainingCpuSeconds * SECOND, 0, new double[] {0, 0, 0, reservedShare});
     }
 
     private static int launched(CapacityDemand demand, HostCapacity... hosts) {
@@ -35,28 +35,30 @@
     }
 
     @Test
-    void workThatMachinesCanDoInTimeLaunchesNothing() throws Exception {
-        assertEquals(0, launched(new CapacityDemand(job(), 24, 10 * SECOND, 60 * SECOND), up(0, 0)));
-        assertTrue(launched(new CapacityDemand(job(), 100, 10 * SECOND, 60 * SECOND), up(0, 0)) > 0);
+    void noLaunchWhenExistingMachinesMeetTheDeadline() throws Exception {
+        assertEquals(0, launched(new CapacityDemand(job(), 24, 10 * SECOND, 60 * SECOND), runningHost(0, 0)));
+        assertTrue(launched(new CapacityDemand(job(), 100, 10 * SECOND, 60 * SECOND), runningHost(0, 0)) > 0);
     }
 
     @Test
-    void tasksThatDoNotFitTheWindowAreNotSplit() throws Exception {
-        // 85 s hold two runs of 30 s, not two and five sixths: 15 tasks, where splitting would do 21.
-        assertEquals(0, launched(new CapacityDemand(job(), 15, 30 * SECOND, 85 * SECOND), up(0, 0)));
-        assertTrue(launched(new CapacityDemand(job(), 24, 30 * SECOND, 85 * SECOND), up(0, 0)) > 0);
+    void onlyWholeRunsBeforeTheDeadlineCount() throws Exception {
+        // 85 s allow two runs of 30 s rather than 2 5/6: 15 tasks, while splitting would allow 21.
+        assertEquals(0, launched(new CapacityDemand(job(), 15, 30 * SECOND, 85 * SECOND), runningHost(0, 0)));
+        assertTrue(launched(new CapacityDemand(job(), 24, 30 * SECOND, 85 * SECOND), runningHost(0, 0)) > 0);
     }
 
     @Test
-    void whatGangsTakeIsNotCountedOn() throws Exception {
+    void capacityUsedByHigherPriorityWorkIsExcluded() throws Exception {
         CapacityDemand demand = new CapacityDemand(job("rank", "idle"), 30, 10 * SECOND, 60 * SECOND);
-        assertEquals(0, launched(demand, up(0, 0)));
-        assertTrue(launched(demand, up(0, 0.8)) > 0);
-        assertEquals(0, launched(new CapacityDemand(job("rank", "normal"), 30, 10 * SECOND, 60 * SECOND), up(0, 0.8)));
+        assertEquals(0, launched(demand, runningHost(0, 0)));
+        assertTrue(launched(demand, runningHost(0, 0.8)) > 0);
+        assertEquals(
+                0,
+                launched(new CapacityDemand(job("rank", "normal"), 30, 10 * SECOND, 60 * SECOND), runningHost(0, 0.8)));
     }
 
     @Test
-    void refusedOfferingsAndSpotRulesAreKept() throws Exception {
+    void unavailableOfferingsAndSpotConstraintsAreRespected() throws Exception {
         CapacityDemand demand = new CapacityDemand(job("loaners", false), 4, 10 * SECOND, 60 * SECOND);
         List<ScaleOutRequest> plan = ScaleOutPlanner.plan(List.of(demand), List.of(), List.of(LARGE), Set.of(), 30, 0);
         assertEquals(new Offering("large", "a", false), plan.get(0).offering());
@@ -67,11 +69,11 @@
     }
 
     @Test
-    void manySmallShortfallsAreWorthAMachineTogether() throws Exception {
-        // The first takes what the machine that is there can do; each of the others is little on its own.
+    void smallShortfallsAccumulateToOneLaunch() throws Exception {
+        // The first demand uses up the existing machine; each of the others alone does not justify a new one.
         CapacityDemand first = new CapacityDemand(job(), 45, 10 * SECOND, 60 * SECOND);
         CapacityDemand small = new CapacityDemand(job(), 4, 10 * SECOND, 60 * SECOND);
-        List<HostCapacity> hosts = List.of(up(0, 0));
+        List<HostCapacity> hosts = List.of(runningHost(0, 0));
         assertEquals(
                 0,
                 ScaleOutPlanner.plan(List.of(first, small), hosts, List.of(LARGE), Set.of(), 30, 0)
@@ -84,7 +86,7 @@
     }
 
     @Test
-    void aGangDoesNotCountOnWhatAnotherWaitsFor() throws Exception {
+    void bootingMachinesAreNotCountedForTwoGangs() throws Exception {
         CapacityDemand gang = new CapacityDemand(
                 job("shape", "ensemble", "beads", 3, "cpus", 16.0, "together", true), 3, 60 * SECOND, 60 * SECOND);
         HostCapacity booting = new HostCapacity(LARGE, "a", true, true, 10 * SECOND, 0, 0, new double[4]);
@@ -101,17 +103,17 @@
     }
 
     @Test
-    void gapsBetweenTasksAndTheFirstFetchTakeTheirTime() throws Exception {
-        // 60 s hold six runs of 10 s, but three when each waits as long for the next.
-        assertEquals(0, launched(new CapacityDemand(job(), 40, 10 * SECOND, 60 * SECOND), up(0, 0)));
+    void gapsAndImageFetchReduceCapacity() throws Exception {
+        // 60 s allow six runs of 10 s, but only three with a gap of 10 s after each.
+        assertEquals(0, launched(new CapacityDemand(job(), 40, 10 * SECOND, 60 * SECOND), runningHost(0, 0)));
         assertTrue(launched(
                         new CapacityDemand(job(), 40, 10 * SECOND, 10 * SECOND, 60 * SECOND, Map.of(), Map.of()),
-                        up(0, 0))
+                        runningHost(0, 0))
                 > 0);
         HostCapacity booting = new HostCapacity(LARGE, "a", true, true, 10 * SECOND, 0, 0, new double[4]);
         assertEquals(0, launched(new CapacityDemand(job("size_gb", 1.0), 20, 10 * SECOND, 45 * SECOND), booting));
         assertTrue(launched(new CapacityDemand(job("size_gb", 30.0), 20, 10 * SECOND, 45 * SECOND), booting) > 0);
-        // An image that takes longer than there is time is no reason to rent nothing: late is better than never.
+        // Machines are launched even if fetching the image makes the tasks miss the deadline.
         assertTrue(launched(new CapacityDemand(job("size_gb", 90.0), 8, 10 * SECOND, 45 * SECOND)) > 0);
     }
 }
