--- a/src/main/java/org/weldcourse/election/LeaderElection.java
+++ b/src/main/java/org/weldcourse/election/LeaderElection.java
@@ -11,23 +11,23 @@
 import org.weldcourse.store.Transaction;
 
 /**
- * Leader election over the consensus-backed key-value store, and renewal of the leader's lease. The key {@code leader}
- * hangs on a lease of the store; the key {@code epoch} holds the fencing token, which rises with every election: workers
- * obey the highest one they have seen, and the leader's commits are guarded by the version of that key.
+ * Leader election over the store, and renewal of the leader's lease. The key {@code leader} is attached to a lease of the
+ * store. The key {@code epoch} holds the fencing token, which increases with every election: workers obey the highest
+ * token that they have seen, and the leader's commits are conditional on the revision of that key.
  *
- * <p>All methods run on the loop of the {@link Timers} given; times are microseconds of the given {@link Clock}.
+ * <p>All methods run on the event loop of the {@link Timers}; times are microseconds of the {@link Clock}.
  */
 public final class LeaderElection extends ScheduledTask {
-    /** The key of the store that holds the fencing token. */
+    /** The key that holds the fencing token in the store. */
     public static final String FENCING_TOKEN_KEY = "epoch";
 
     private static final Logger LOG = LoggerFactory.getLogger(LeaderElection.class);
     private static final String LEADER_KEY = "leader";
-    /** The part by which a steady clock may run fast, with room to spare: the lease is taken as that much shorter. */
-    private static final double CLOCK_DRIFT = 0.001;
+    /** Upper bound of the clock drift, as a fraction; the leader treats its lease as shorter by this fraction. */
+    private static final double MAX_CLOCK_DRIFT = 0.001;
 
     private static final long RETRY_MICROS = 300_000;
-    private static final long WATCH_MICROS = 20_000_000;
+    private static final long WATCH_TIMEOUT_MICROS = 20_000_000;
 
     private final String nodeName;
     private final Store store;
@@ -36,7 +36,7 @@
 
     private Role role = Role.CANDIDATE;
     private String leaderName;
-    /** The lease that the known leader's key hangs on, or 0 once it was revoked from here. */
+    /** The lease of the known leader's key, or 0 once this node has revoked it. */
     private long leaderLeaseId;
 
     private long ownLeaseId;
@@ -44,7 +44,7 @@
     private long fencingTokenVersion;
     private long leaseExpiryMicros;
     private boolean requestInFlight;
-    /** Counts changes of role, so that an answer to a request of an earlier role is ignored. */
+    /** Counts role changes, so that responses to requests from an earlier role are ignored. */
     private int roleChanges;
 
     private enum Role {
@@ -53,14 +53,14 @@
         LEADER
     }
 
-    /** Told of changes of role; {@code elected} is followed by {@code deposed} before the next {@code elected}. */
+    /** Notified of role changes. {@code deposed} always follows {@code elected} before the next {@code elected}. */
     public interface Listener {
         /**
-         * This node is the leader now.
+         * This node became the leader.
          *
-         * @param fencingToken higher than that of any earlier leader
-         * @param fencingTokenVersion the store's version of the key {@code epoch} that holds the token, which guards
-         *     the leader's commits
+         * @param fencingToken higher than the token of any earlier leader
+         * @param fencingTokenVersion the store's revision of the key {@code epoch}; the leader's commits are conditional
+         *     on it
          */
         void elected(long fencingToken, long fencingTokenVersion);
 
@@ -69,7 +69,7 @@
     }
 
     /**
-     * A candidate that stands for election once it is started.
+     * Creates a candidate that takes part in elections once it is started.
      *
      * @param nodeName this node's name, as written in the key {@code leader}
      * @param leaseMicros the length of the leader's lease, in microseconds
@@ -83,39 +83,42 @@
         this.listener = listener;
     }
 
-    /** The leader's name as far as this node knows; null when it doesn't know. */
+    /** The name of the leader that this node knows, or null. */
     public String leaderName() {
         return leaderName;
     }
 
-    /** Whether this node believes that it is the leader, whether or not its lease is still valid. */
+    /** Whether this node considers itself the leader, even if its lease has expired. */
     public boolean isLeader() {
         return role == Role.LEADER;
     }
 
-    /** Whether nobody else can have been elected yet: the lease is counted from the sending of its renewal. */
+    /**
+     * Whether this node is the leader and its lease is valid, so that no other node can have been elected. The lease is
+     * counted from the time at which its renewal was sent.
+     */
     public boolean isLeaseValid() {
         return role == Role.LEADER && clock.nowMicros() < leaseExpiryMicros;
     }
 
-    /** The earliest time of the own lease's expiry by what is known here, in microseconds of the clock. */
+    /** The earliest time at which this node's lease may expire in the store, in microseconds of the clock. */
     public long leaseExpiryMicros() {
         return leaseExpiryMicros;
     }
 
-    /** A newer fencing token was seen, or a commit failed on its guard of the token: step down and look again. */
+    /** Steps down after a newer fencing token was seen, or after a commit failed its condition on the token. */
     public void fencingTokenSuperseded() {
         if (role == Role.LEADER) {
             stepDown("a newer fencing token was seen");
         }
     }
 
-    /** The highest fencing token that this process was the leader under, or 0. */
+    /** The fencing token of this process's last term as leader, or 0. */
     public long fencingToken() {
         return fencingToken;
     }
 
-    /** A peer says that it is the leader: when its token is higher, this node was deposed and can't have heard of it. */
+    /** Handles a peer's report that it is the leader: with a higher token, it has replaced this node, which steps down. */
     public void peerReportsLeadership(long peerFencingToken) {
         if (role == Role.LEADER && peerFencingToken > fencingToken) {
             stepDown("a peer is leader under fencing token " + peerFencingToken);
@@ -123,13 +126,13 @@
     }
 
     /**
-     * The leader's process seems to have ended: its lease is revoked, so that failover need not wait for the lease
-     * expiry. Should it live after all, it loses its place and no more: its commits are guarded by the fencing token's
-     * version, and workers obey the highest token.
+     * Revokes the leader's lease after its process appears to have exited, so that failover doesn't wait for the lease to
+     * expire. If the process is alive, it loses leadership without harm: its commits are conditional on the fencing
+     * token's revision, and workers obey the highest token.
      */
     public void peerProcessEnded(String name) {
         if (role == Role.FOLLOWER && name.equals(leaderName) && leaderLeaseId != 0) {
-            LOG.info("leader {} seems to have ended: its lease is revoked for a failover", name);
+            LOG.info("leader {} appears to have exited: revoking its lease for a failover", name);
             long revoked = leaderLeaseId;
             leaderLeaseId = 0;
             store.revokeLease(revoked, outcome -> {});
@@ -144,55 +147,55 @@
         if (role == Role.LEADER) {
             renewLease();
         } else {
-            lookForLeader();
+            findLeader();
         }
         return -1;
     }
 
-    /** A lease's length as far as it can be relied on here: less what this clock may drift meanwhile. */
-    private static long lessClockDrift(long durationMicros) {
-        return durationMicros - (long) (durationMicros * CLOCK_DRIFT);
+    /** The part of a lease duration that this node can rely on if its clock drifts. */
+    private static long subtractClockDrift(long durationMicros) {
+        return durationMicros - (long) (durationMicros * MAX_CLOCK_DRIFT);
     }
 
-    private void stepAgainIn(long delayMicros) {
+    private void scheduleStep(long delayMicros) {
         requestInFlight = false;
         wakeIn(delayMicros);
     }
 
     private void renewLease() {
         requestInFlight = true;
-        int roleChangesAtSending = roleChanges;
+        int roleChangesWhenSent = roleChanges;
         long sentMicros = clock.nowMicros();
         store.renewLease(ownLeaseId, leaseMicros / 3, outcome -> {
-            if (roleChangesAtSending != roleChanges) {
+            if (roleChangesWhenSent != roleChanges) {
                 return;
             }
             if (outcome == Outcome.OK) {
-                leaseExpiryMicros = sentMicros + lessClockDrift(leaseMicros);
-                // Counted from its sending: a node that reads its answers late must not renew the later for it.
-                stepAgainIn(Math.max(0, sentMicros + leaseMicros / 4 - clock.nowMicros()));
+                leaseExpiryMicros = sentMicros + subtractClockDrift(leaseMicros);
+                // Counted from the send time: a node that reads responses late must not renew its lease later.
+                scheduleStep(Math.max(0, sentMicros + leaseMicros / 4 - clock.nowMicros()));
             } else if (outcome == Outcome.REFUSED || outcome == Outcome.INVALID) {
-                stepDown("lease expiry: the store refused the lease renewal");
+                stepDown("lease expired: the store refused its renewal");
             } else {
-                stepAgainIn(RETRY_MICROS);
+                scheduleStep(RETRY_MICROS);
             }
         });
     }
 
-    private void stepDown(String why) {
-        LOG.info("fencing token {}: stepped down as leader: {}", fencingToken, why);
+    private void stepDown(String reason) {
+        LOG.info("fencing token {}: stepped down as leader: {}", fencingToken, reason);
         roleChanges++;
         role = Role.CANDIDATE;
         leaderName = null;
         listener.deposed();
-        stepAgainIn(0);
+        scheduleStep(0);
     }
 
-    private void lookForLeader() {
+    private void findLeader() {
         requestInFlight = true;
         store.list(LEADER_KEY, listing -> {
             if (listing.outcome() != Outcome.OK) {
-                stepAgainIn(RETRY_MICROS);
+                scheduleStep(RETRY_MICROS);
                 return;
             }
             if (listing.entries().isEmpty()) {
@@ -203,9 +206,9 @@
             Store.Entry leaderEntry = listing.entries().get(0);
             String name = Json.text(leaderEntry.value(), "name");
             if (nodeName.equals(name)) {
-                // Only this process bears the name, and it is not the leader: the key is an earlier incarnation's.
+                // Names are unique and this process is not the leader, so its previous incarnation wrote the key.
                 store.revokeLease(
-                        leaderEntry.leaseId(), outcome -> stepAgainIn(outcome == Outcome.OK ? 0 : RETRY_MICROS));
+                        leaderEntry.leaseId(), outcome -> scheduleStep(outcome == Outcome.OK ? 0 : RETRY_MICROS));
                 return;
             }
             leaderLeaseId = leaderEntry.leaseId();
@@ -219,11 +222,11 @@
             LOG.info("following leader {}", name);
         }
         leaderName = name;
-        store.watch(LEADER_KEY, revision, WATCH_MICROS, events -> {
+        store.watch(LEADER_KEY, revision, WATCH_TIMEOUT_MICROS, events -> {
             if (events.outcome() == Outcome.OK && events.events().isEmpty()) {
                 follow(name, Math.max(revision, events.revision()));
             } else {
-                stepAgainIn(events.outcome() == Outcome.OK || events.outcome() == Outcome.REFUSED ? 0 : RETRY_MICROS);
+                scheduleStep(events.outcome() == Outcome.OK || events.outcome() == Outcome.REFUSED ? 0 : RETRY_MICROS);
             }
         });
     }
@@ -231,7 +234,7 @@
     private void campaign() {
         store.get(FENCING_TOKEN_KEY, read -> {
             if (read.outcome() != Outcome.OK && read.outcome() != Outcome.REFUSED) {
-                stepAgainIn(RETRY_MICROS);
+                scheduleStep(RETRY_MICROS);
                 return;
             }
             long lastFencingToken =
@@ -240,7 +243,7 @@
             long sentMicros = clock.nowMicros();
             store.grantLease(leaseMicros, grant -> {
                 if (grant.outcome() != Outcome.OK) {
-                    stepAgainIn(RETRY_MICROS);
+                    scheduleStep(RETRY_MICROS);
                     return;
                 }
                 claimLeadership(lastFencingToken + 1, lastVersion, grant.leaseId(), sentMicros);
@@ -248,7 +251,7 @@
         });
     }
 
-    /** Compare-and-swap: takes the key {@code leader} if it is free and the fencing token is still the one read. */
+    /** Writes the key {@code leader} with a compare-and-swap if it is absent and the fencing token is unchanged. */
     private void claimLeadership(long newFencingToken, long lastVersion, long newLeaseId, long sentMicros) {
         Transaction txn = new Transaction()
                 .ifModRevision(LEADER_KEY, 0)
@@ -257,9 +260,9 @@
                 .put(FENCING_TOKEN_KEY, Json.of("epoch", newFencingToken));
         store.commit(txn, commit -> {
             if (commit.outcome() != Outcome.OK) {
-                // Without an answer it may still be carried out: ending the lease undoes that.
+                // A commit without a response may still be applied; revoking the lease then deletes the key.
                 store.revokeLease(
-                        newLeaseId, ended -> stepAgainIn(commit.outcome() == Outcome.REFUSED ? 0 : RETRY_MICROS));
+                        newLeaseId, revocation -> scheduleStep(commit.outcome() == Outcome.REFUSED ? 0 : RETRY_MICROS));
                 return;
             }
             roleChanges++;
@@ -268,10 +271,10 @@
             ownLeaseId = newLeaseId;
             fencingToken = newFencingToken;
             fencingTokenVersion = commit.revision();
-            leaseExpiryMicros = sentMicros + lessClockDrift(leaseMicros);
+            leaseExpiryMicros = sentMicros + subtractClockDrift(leaseMicros);
             LOG.info("elected leader, fencing token {}", fencingToken);
             listener.elected(fencingToken, fencingTokenVersion);
-            stepAgainIn(leaseMicros / 4);
+            scheduleStep(leaseMicros / 4);
         });
     }
 }
--- a/src/main/java/org/weldcourse/election/package-info.java
+++ b/src/main/java/org/weldcourse/election/package-info.java
@@ -1,2 +1,2 @@
-/** Leader election over the store, and the leader's lease and its renewal. The fencing token rises with each election. */
+/** Leader election over the store, with renewal of the leader's lease. Each election increases the fencing token. */
 package org.weldcourse.election;
--- a/src/main/java/org/weldcourse/leader/AdmissionCycle.java
+++ b/src/main/java/org/weldcourse/leader/AdmissionCycle.java
@@ -22,23 +22,26 @@
 import org.weldcourse.workers.DirectCommands;
 
 /**
- * The admission cycle of a leader's term: finished work is put on record, what waits is admitted against a snapshot of
- * the cluster, and what must stop is sent its command. A cycle follows each event that it may act on, and comes at the
- * latest a second after the one before.
+ * The admission cycle of a leader's term. Each cycle persists finished work, admits pending tasks against a snapshot of
+ * the cluster, and sends stop commands to workers. A cycle runs soon after each relevant event, and at least once a
+ * second.
  */
 final class AdmissionCycle extends ScheduledTask {
     private static final Logger LOG = LoggerFactory.getLogger(AdmissionCycle.class);
-    private static final long IDLE_CYCLE_MICROS = 1_000_000;
-    /** How long an event waits for others that the same cycle can act on. */
-    private static final long EVENT_DELAY_MICROS = 10_000;
-    /** The pause after a cycle for each machine and job that it looked at: it is left to heartbeats and users. */
+    private static final long MAX_CYCLE_INTERVAL_MICROS = 1_000_000;
+    /** Delay after an event, so that one cycle handles several events. */
+    private static final long EVENT_BATCH_DELAY_MICROS = 10_000;
+    /** Pause after a cycle per machine and job, which leaves processor time for heartbeats and user requests. */
     private static final long PAUSE_PER_ITEM_MICROS = 200;
-    /** How far ahead arrays are booked, in heartbeats: about the time until a machine could be told otherwise. */
-    private static final double BOOK_AHEAD_HEARTBEATS = 0.75;
-    /** Cycles that begin this late show that the processor does not keep up. */
-    private static final long OVERLOADED_MICROS = 100_000;
+    /**
+     * How far ahead tasks of arrays are booked, in heartbeat intervals: about the time until the machine can receive
+     * other commands.
+     */
+    private static final double LOOKAHEAD_HEARTBEATS = 0.75;
+    /** A cycle that starts this late indicates processor overload. */
+    private static final long OVERLOAD_DELAY_MICROS = 100_000;
 
-    private static final long STATUS_MICROS = 30_000_000;
+    private static final long STATUS_INTERVAL_MICROS = 30_000_000;
 
     private final LeaderTermDependencies dependencies;
     private final long fencingToken;
@@ -50,7 +53,7 @@
     private final SnapshotBuilder snapshots;
     private final CapacityDemandEstimator demandEstimator;
     private final TaskEviction taskEviction;
-    private final JobEndings jobEndings;
+    private final JobCompletionHandler jobCompletion;
     private final DirectCommands directCommands;
     private final int maxTasksPerAdmission;
 
@@ -58,7 +61,7 @@
     private long earliestCycleMicros;
     private int tasksWaitingForQuota;
 
-    /** The cycle of a term; it admits nothing before the recovery is complete. */
+    /** Creates the cycle of a term; it admits nothing before the recovery is complete. */
     AdmissionCycle(
             LeaderTermDependencies dependencies,
             long fencingToken,
@@ -80,7 +83,7 @@
         this.demandEstimator = new CapacityDemandEstimator(cluster, dependencies.settings());
         this.taskEviction =
                 new TaskEviction(cluster, dependencies.settings().workers().gangWaitMicros());
-        this.jobEndings = new JobEndings(cluster, recordWriter, quotas, taskEviction, this::wakeIn);
+        this.jobCompletion = new JobCompletionHandler(cluster, recordWriter, quotas, taskEviction, this::wakeIn);
         this.directCommands = new DirectCommands(
                 cluster,
                 commands,
@@ -92,11 +95,11 @@
     }
 
     /**
-     * Something happened that a cycle may act on. A cycle costs in step with what it looks at, so a large cluster has to
-     * wait a little longer for the next one.
+     * Schedules a cycle after an event. The cost of a cycle grows with the number of machines and jobs, so cycles of a
+     * large cluster are further apart.
      */
     void wakeForEvent() {
-        wakeIn(Math.max(EVENT_DELAY_MICROS, earliestCycleMicros - clock.nowMicros()));
+        wakeIn(Math.max(EVENT_BATCH_DELAY_MICROS, earliestCycleMicros - clock.nowMicros()));
     }
 
     @Override
@@ -110,35 +113,35 @@
             return -1;
         }
         long nowMicros = clock.nowMicros();
-        jobEndings.processAll(nowMicros);
+        jobCompletion.processAll(nowMicros);
         for (Machine machine : cluster.machines.values()) {
             taskEviction.evictBeforeReclaim(machine, nowMicros);
         }
         if (dependencies.election().isLeaseValid()) {
             quotas.bookingsOverQuota().forEach(taskEviction::evict);
-            admitWaiting(nowMicros);
+            admitPending(nowMicros);
         }
         if (!autoscaler.isRunning()) {
-            // Not before it is known what waits: a step that costs a new leader much would find nothing to do.
+            // Only after the first cycle: without its demand, a costly step of a new leader would find nothing to do.
             autoscaler.start();
         }
-        directCommands.send(lateMicros() >= OVERLOADED_MICROS);
+        directCommands.send(lateMicros() >= OVERLOAD_DELAY_MICROS);
         earliestCycleMicros =
                 clock.nowMicros() + PAUSE_PER_ITEM_MICROS * (cluster.machines.size() + cluster.jobs.size());
         logStatus(nowMicros);
-        return IDLE_CYCLE_MICROS;
+        return MAX_CYCLE_INTERVAL_MICROS;
     }
 
-    private void admitWaiting(long nowMicros) {
+    private void admitPending(long nowMicros) {
         CycleDecisions decisions = Planner.decide(
                 snapshots.snapshot(nowMicros, autoscaler::startSloPriority),
                 new Planner.CycleLimits(maxTasksPerAdmission, recordWriter.maxAdmissions(), (long)
-                        (dependencies.settings().workers().heartbeatIntervalMicros() * BOOK_AHEAD_HEARTBEATS)));
+                        (dependencies.settings().workers().heartbeatIntervalMicros() * LOOKAHEAD_HEARTBEATS)));
         decisions.preemptions().forEach(this::preempt);
         for (CycleDecisions.Admission admission : decisions.admissions()) {
             admit(cluster.jobs.get(admission.job()), admission.tasks(), nowMicros);
         }
-        countAndLogWaiting(decisions.pending());
+        countAndLogPending(decisions.pending());
         autoscaler.updateDemand(demandEstimator.demand(decisions.pending()), decisions.reservedMachines());
         quotas.cycleEnded(decisions.pending(), nowMicros);
     }
@@ -152,12 +155,12 @@
         }
     }
 
-    /** Books the tasks at once and writes the admission; a write that fails frees the bookings. */
+    /** Books the tasks immediately and writes the admission record; a failed write releases the bookings. */
     private void admit(Job job, Map<String, int[]> tasksByMachine, long nowMicros) {
         int attempt = job.lastAttempt() + 1;
         List<Booking> booked = AttemptBookings.book(cluster, job, attempt, tasksByMachine, nowMicros);
-        recordWriter.admit(job, attempt, booked, onRecord -> {
-            if (onRecord) {
+        recordWriter.admit(job, attempt, booked, persisted -> {
+            if (persisted) {
                 LOG.debug(
                         "{} attempt {}: {} tasks admitted on {}",
                         job.spec().id(),
@@ -175,15 +178,15 @@
         });
     }
 
-    private void countAndLogWaiting(List<CycleDecisions.PendingTasks> waiting) {
+    private void countAndLogPending(List<CycleDecisions.PendingTasks> pending) {
         tasksWaitingForQuota = 0;
-        for (CycleDecisions.PendingTasks item : waiting) {
+        for (CycleDecisions.PendingTasks item : pending) {
             if (LOG.isDebugEnabled()) {
                 LOG.debug(
                         "{}: {} tasks wait for {}",
                         item.spec().id(),
                         item.tasks(),
-                        item.blockedByQuota() ? "their team's limit" : "room");
+                        item.blockedByQuota() ? "their team's quota limit" : "free capacity");
             }
             tasksWaitingForQuota += item.blockedByQuota() ? item.tasks() : 0;
         }
@@ -193,11 +196,11 @@
         if (nowMicros < nextStatusMicros || cluster.jobs.isEmpty() && cluster.machines.isEmpty()) {
             return;
         }
-        nextStatusMicros = nowMicros + STATUS_MICROS;
+        nextStatusMicros = nowMicros + STATUS_INTERVAL_MICROS;
         LOG.info(
                 "fencing token {}: {}",
                 fencingToken,
-                LeaderStatusLine.of(
+                LeaderStatusLine.format(
                         cluster,
                         quotas,
                         tasksWaitingForQuota,
--- a/src/main/java/org/weldcourse/leader/HeartbeatHandler.java
+++ b/src/main/java/org/weldcourse/leader/HeartbeatHandler.java
@@ -11,7 +11,7 @@
 import org.weldcourse.workers.WorkerLeaseRenewalBound;
 
 /**
- * Answers the workers' heartbeats in a leader's term. Each answer with status 200 renews the worker's lease and carries
+ * Answers the workers' heartbeats in a leader's term. Each response with status 200 renews the worker's lease and carries
  * the commands for the worker.
  */
 final class HeartbeatHandler {
@@ -25,7 +25,7 @@
     private final WorkerLeaseRenewalBound leaseRenewalBound;
     private final Runnable onChange;
 
-    /** A handler that runs {@code onChange} when a heartbeat changed what the admission cycle may act on. */
+    /** Creates a handler that runs {@code onChange} when a heartbeat changed state that the admission cycle reads. */
     HeartbeatHandler(
             LeaderTermDependencies dependencies,
             long fencingToken,
@@ -47,14 +47,16 @@
         this.onChange = onChange;
     }
 
-    /** Answers 503 while this leader may not renew workers' leases, else 200. */
+    /** Responds with 503 while this leader may not renew workers' leases, else with 200. */
     void handle(Heartbeat heartbeat, Reply reply) {
         long nowMicros = dependencies.clock().nowMicros();
         if (!mayRenewWorkerLeases(nowMicros)) {
             reply.refuse(503, "cut off from the state service", 1);
             return;
         }
-        // A late copy may speak of a machine that is long gone; one that is there comes again with our fencing token.
+        // A delayed heartbeat may come from a machine that no longer exists. A live machine sends its next heartbeat
+        // with
+        // the current fencing token.
         boolean unknownMachine =
                 heartbeat.fencingToken() != fencingToken && !cluster.machines.containsKey(heartbeat.machine());
         if (!recovery.isComplete() || unknownMachine || autoscaler.isDeleted(heartbeat.machine())) {
@@ -77,8 +79,8 @@
     }
 
     /**
-     * While the store refuses this node, or as long as it has not read again since, other controllers may have confirmed
-     * cancellations: what is started then would be stopped, but it would have been started.
+     * Whether tasks may be started. While the store refuses this node, and until this node has read the open jobs
+     * again, other controllers may have confirmed cancellations that it doesn't know of: it would start cancelled tasks.
      */
     private boolean mayStartTasks(long nowMicros) {
         return dependencies.election().isLeaseValid()
@@ -87,9 +89,10 @@
     }
 
     /**
-     * After its own lease expiry a leader may keep work alive only while the others say that the store serves none of
-     * them: else a successor may wait for its workers. And before or after, no longer than a cancellation that it has
-     * not read of leaves time for.
+     * Whether workers' leases may be renewed. After its own lease has expired, a leader may keep tasks running only
+     * while the other controllers report that the store serves none of them: else a successor may be waiting for the
+     * workers' leases to expire. In any case, the time since the last read of the open jobs is bounded, so that a
+     * cancellation that this leader has not read still takes effect in time.
      */
     private boolean mayRenewWorkerLeases(long nowMicros) {
         return leaseRenewalBound.mayRenewAt(nowMicros)
--- a/src/main/java/org/weldcourse/leader/JobEndings.java
+++ b/src/main/java/org/weldcourse/leader/JobCompletionHandler.java
@@ -9,12 +9,12 @@
 import org.weldcourse.quota.enforcement.QuotaEnforcement;
 
 /**
- * Sees jobs through to their end: finished tasks and ended jobs are put on record, and a job that is over stays among
- * the outstanding ones as long as tasks of it may be on machines.
+ * Handles the completion of jobs: persists finished tasks and ended jobs, and keeps an ended job as outstanding while
+ * tasks of it may still be on machines.
  */
-final class JobEndings {
-    /** How long the end of a gang waits for the heartbeats of its last tasks; users expect to hear of it within 3 s. */
-    private static final long LAST_HEARTBEATS_MICROS = 700_000;
+final class JobCompletionHandler {
+    /** How long the end of a gang waits for the heartbeats of its last tasks; users expect to see the end within 3 s. */
+    private static final long FINAL_HEARTBEATS_WAIT_MICROS = 700_000;
 
     private final ClusterState cluster;
     private final RecordWriter recordWriter;
@@ -24,11 +24,11 @@
 
     /** Schedules the admission cycle. */
     interface CycleTimer {
-        /** Makes sure that a cycle comes within the given time. */
+        /** Schedules a cycle within the given time. */
         void wakeIn(long delayMicros);
     }
 
-    JobEndings(
+    JobCompletionHandler(
             ClusterState cluster,
             RecordWriter recordWriter,
             QuotaEnforcement quotas,
@@ -41,12 +41,12 @@
         this.cycleTimer = cycleTimer;
     }
 
-    /** Processes all jobs, as the first part of each cycle. */
+    /** Processes all jobs; the first step of each cycle. */
     void processAll(long nowMicros) {
         for (Job job : new ArrayList<>(cluster.jobs.values())) {
             process(job, nowMicros);
         }
-        forgetOutstanding();
+        removeResolvedOutstandingJobs();
     }
 
     private void process(Job job, long nowMicros) {
@@ -58,7 +58,7 @@
             return;
         }
         if (job.allDone()) {
-            if (!awaitsLastHeartbeats(job, nowMicros)) {
+            if (!mustAwaitFinalHeartbeats(job, nowMicros)) {
                 recordWriter.close(job);
             }
         } else if (job.isCancelled()) {
@@ -69,7 +69,7 @@
         } else {
             recordWriter.saveFinishedTasks(job);
             if (job.spec().isGang()) {
-                taskEviction.evictGangIfLate(job, nowMicros);
+                taskEviction.evictGangOnStartTimeout(job, nowMicros);
             }
         }
     }
@@ -77,25 +77,28 @@
     private void removeClosed(Job job) {
         cluster.jobs.remove(job.spec().id());
         quotas.jobEnded(job);
-        // Its last tasks may have gone while the record of them was being written.
+        // The record of outstanding tasks may exist although its last task was released during the write.
         if (!job.bookings().isEmpty() || job.isOutstandingPersisted()) {
             cluster.outstandingJobs.put(job.spec().id(), job);
             cluster.evict(job, 0);
         }
     }
 
-    /** When a gang is done, the heartbeats with its last exits are on their way: they spare a record of outstanding tasks. */
-    private boolean awaitsLastHeartbeats(Job job, long nowMicros) {
-        long leftMicros = job.doneSinceMicros(nowMicros) + LAST_HEARTBEATS_MICROS - nowMicros;
-        if (job.bookings().isEmpty() || leftMicros <= 0) {
+    /**
+     * Whether to wait for the heartbeats that report the last exits of a finished gang: once they have arrived, no record
+     * of outstanding tasks needs to be written.
+     */
+    private boolean mustAwaitFinalHeartbeats(Job job, long nowMicros) {
+        long remainingMicros = job.doneSinceMicros(nowMicros) + FINAL_HEARTBEATS_WAIT_MICROS - nowMicros;
+        if (job.bookings().isEmpty() || remainingMicros <= 0) {
             return false;
         }
-        cycleTimer.wakeIn(leftMicros);
+        cycleTimer.wakeIn(remainingMicros);
         return true;
     }
 
-    /** Forgets jobs that are over once there is evidence that no task of them is left on any machine. */
-    private void forgetOutstanding() {
+    /** Removes ended jobs, and their records, once there is evidence that no task of them is on any machine. */
+    private void removeResolvedOutstandingJobs() {
         List<String> keys = new ArrayList<>();
         cluster.outstandingJobs.values().removeIf(job -> {
             if (job.bookings().isEmpty() && job.isOutstandingPersisted()) {
--- a/src/main/java/org/weldcourse/leader/LeaderStatusLine.java
+++ b/src/main/java/org/weldcourse/leader/LeaderStatusLine.java
@@ -12,23 +12,24 @@
     private LeaderStatusLine() {}
 
     /**
-     * One line for operators: how much is open, what waits and why, and where the money goes.
+     * Formats a summary for operators: open jobs, pending tasks and their reason, machines and costs.
      *
-     * @param waitingForQuota tasks that wait for their team's limit
-     * @param heartbeatTimeoutMicros a machine that is up counts as silent after this time without a heartbeat
+     * @param waitingForQuota pending tasks that exceed their team's quota limit
+     * @param heartbeatTimeoutMicros the time without a heartbeat after which a machine that is up counts as silent
      */
-    static String of(
+    static String format(
             ClusterState cluster,
             QuotaEnforcement quotas,
             int waitingForQuota,
             CostBreakdown costs,
             long heartbeatTimeoutMicros,
             long nowMicros) {
-        int up = 0;
-        int silent = 0;
+        int machinesUp = 0;
+        int machinesSilent = 0;
         for (Machine machine : cluster.machines.values()) {
-            up += machine.isUp() ? 1 : 0;
-            silent += machine.isUp() && nowMicros - machine.lastHeartbeatMicros > heartbeatTimeoutMicros ? 1 : 0;
+            machinesUp += machine.isUp() ? 1 : 0;
+            machinesSilent +=
+                    machine.isUp() && nowMicros - machine.lastHeartbeatMicros > heartbeatTimeoutMicros ? 1 : 0;
         }
         int pending = 0;
         int booked = 0;
@@ -45,14 +46,14 @@
                 replicasWaiting += job.pendingCount();
             }
         }
-        return cluster.jobs.size() + " jobs open, " + booked + " tasks booked, " + pending + " waiting ("
-                + waitingForQuota + " for their team's limit); "
+        return cluster.jobs.size() + " jobs open, " + booked + " tasks booked, " + pending + " pending ("
+                + waitingForQuota + " for their team's quota limit); "
                 + (replicas == 0
                         ? ""
-                        : replicas + " replicas wanted, " + replicasRunning + " running, " + replicasWaiting
-                                + " waiting for a place, " + (replicas - replicasRunning - replicasWaiting)
-                                + " booked or leaving; ")
-                + quotas.status() + up + " machines up, " + silent + " silent, "
-                + (cluster.machines.size() - up) + " coming; " + costs;
+                        : replicas + " replicas requested, " + replicasRunning + " running, " + replicasWaiting
+                                + " pending, " + (replicas - replicasRunning - replicasWaiting)
+                                + " starting or stopping; ")
+                + quotas.status() + machinesUp + " machines up, " + machinesSilent + " silent, "
+                + (cluster.machines.size() - machinesUp) + " starting; " + costs;
     }
 }
--- a/src/main/java/org/weldcourse/leader/LeaderTerm.java
+++ b/src/main/java/org/weldcourse/leader/LeaderTerm.java
@@ -21,10 +21,10 @@
 import org.weldcourse.workers.WorkerLeaseRenewalBound;
 
 /**
- * One leader's term under one fencing token: makes its parts and connects them. After a failover the {@link RecordReader}
- * reads the records back; the {@link HeartbeatHandler} answers the workers, the {@link AdmissionCycle} decides, and the
- * {@link Autoscaler} scales out and in. The term owns the cluster's state; nothing of it outlives the term. All methods
- * run on the loop of the {@link Timers}.
+ * One leader's term under one fencing token: creates and connects its components. After a failover the
+ * {@link RecordReader} restores the records; the {@link HeartbeatHandler} answers the workers, the {@link AdmissionCycle}
+ * admits and preempts tasks, and the {@link Autoscaler} scales out and in. The term owns the cluster's state, which is
+ * discarded at its end. All methods run on the event loop of the {@link Timers}.
  */
 public final class LeaderTerm {
     private final LeaderTermDependencies dependencies;
@@ -39,9 +39,9 @@
     private final HeartbeatHandler heartbeats;
 
     /**
-     * The term of the leader elected under this fencing token.
+     * Creates the term of the leader that was elected under this fencing token.
      *
-     * @param fencingTokenVersion the store's version of the key that holds the token, which guards every commit
+     * @param fencingTokenVersion the store's revision of the key that holds the token; every commit is conditional on it
      */
     public LeaderTerm(LeaderTermDependencies dependencies, long fencingToken, long fencingTokenVersion) {
         this.dependencies = dependencies;
@@ -62,7 +62,7 @@
                 quotas,
                 recordWriter,
                 leaseRenewalBound,
-                new RecordEvents());
+                new RecordReaderListener());
         this.autoscaler = newAutoscaler();
         StartAuthorization startAuthorization = new StartAuthorization(cluster, quotas, dependencies.startCounts());
         CommandSelector commands = new CommandSelector(cluster, startAuthorization);
@@ -93,7 +93,7 @@
                 dependencies.timers(),
                 dependencies.settings().storeLimits(),
                 fencingTokenVersion,
-                new RecordWriterEvents());
+                new RecordWriterListener());
     }
 
     private Autoscaler newAutoscaler() {
@@ -106,7 +106,7 @@
                 fencingToken,
                 dependencies.clock(),
                 dependencies.timers(),
-                new AutoscalerTerm());
+                new AutoscalerTermAdapter());
     }
 
     private QuotaEnforcement recordedQuotas(
@@ -119,17 +119,17 @@
                 recordWriter,
                 dependencies.timers(),
                 fencingTokenVersion,
-                new QuotaTermCallbacks());
+                new QuotaTermAdapter());
     }
 
-    /** Reads the predecessor's records back and begins to work. */
+    /** Starts the term by restoring the predecessor's records. */
     public void start() {
         cycle.start();
         quotas.begin();
         recordReader.load();
     }
 
-    /** Ends the term: nothing of it acts any more, and answers to its requests are ignored. */
+    /** Ends the term: its components stop, and responses to its requests are ignored. */
     public void stop() {
         cycle.cancel();
         recordReader.stop();
@@ -140,13 +140,13 @@
 
     /**
      * Answers a worker's heartbeat: 503 while this leader may not renew workers' leases, else 200 with the commands for
-     * the worker, whose lease that renews.
+     * the worker, which renews the worker's lease.
      */
     public void handleHeartbeat(Heartbeat heartbeat, Reply reply) {
         heartbeats.handle(heartbeat, reply);
     }
 
-    /** Adds what a scrape should show of this term. */
+    /** Reports the metrics of this term. */
     public void reportTo(LeaderTermMetrics metrics) {
         metrics.reportTerm(
                 fencingToken,
@@ -161,8 +161,8 @@
         }
     }
 
-    /** Hears what became of writes. */
-    private final class RecordWriterEvents implements RecordWriter.Listener {
+    /** Handles the results of writes. */
+    private final class RecordWriterListener implements RecordWriter.Listener {
         @Override
         public void recordWritten(Job job) {
             cycle.wakeForEvent();
@@ -189,8 +189,8 @@
         }
     }
 
-    /** Hears what is read of the records. */
-    private final class RecordEvents implements RecordReader.Listener {
+    /** Handles the records that were read. */
+    private final class RecordReaderListener implements RecordReader.Listener {
         @Override
         public void recordsLoaded(int records, long revision) {
             recovery.completed(records, revision);
@@ -208,8 +208,8 @@
         }
     }
 
-    /** Tells the machine pool whether this leader may act, and hears of machines that are gone. */
-    private final class AutoscalerTerm implements Autoscaler.Term {
+    /** Tells the autoscaler whether this leader's lease is valid, and handles the deletion of machines. */
+    private final class AutoscalerTermAdapter implements Autoscaler.Term {
         @Override
         public boolean leaseHolds() {
             return dependencies.election().isLeaseValid();
@@ -221,8 +221,8 @@
         }
     }
 
-    /** Reads jobs for the quotas on record, and hears of changes to the quotas. */
-    private final class QuotaTermCallbacks implements LedgerQuotaEnforcement.TermCallbacks {
+    /** Reads jobs for the recorded quotas, and handles changes to the quotas. */
+    private final class QuotaTermAdapter implements LedgerQuotaEnforcement.TermCallbacks {
         @Override
         public void readOpenJobs() {
             recordReader.readChanges();
--- a/src/main/java/org/weldcourse/leader/LeaderTermDependencies.java
+++ b/src/main/java/org/weldcourse/leader/LeaderTermDependencies.java
@@ -15,7 +15,7 @@
 import org.weldcourse.workers.StartCounts;
 
 /**
- * What a leader's term depends on; all of it outlives the term.
+ * The components that a leader's term depends on. They belong to the controller and outlive the term.
  *
  * @param recordedQuotas empty where the teams' quotas are those of the settings file
  */
@@ -33,12 +33,12 @@
         Optional<RecordedTeamQuotas> recordedQuotas,
         StartCounts startCounts) {
 
-    /** Team quotas on record: the ledger, and how budgets are planned. */
+    /** Team quotas that are kept in the store: their ledger, and the planner of the teams' budgets. */
     public record RecordedTeamQuotas(QuotaLedger ledger, BudgetPlanner planner) {}
 
-    /** Tells an outage of the store for all controllers from one that this controller has alone. */
+    /** Tells whether an outage of the store affects all controllers or only this one. */
     public interface StoreOutage {
-        /** Whether, by the other controllers' own heartbeats, the store serves none of them either. */
+        /** Whether the other controllers report in their own heartbeats that the store doesn't serve them either. */
         boolean affectsAllControllers();
     }
 }
--- a/src/main/java/org/weldcourse/leader/RecoveryProgress.java
+++ b/src/main/java/org/weldcourse/leader/RecoveryProgress.java
@@ -6,8 +6,7 @@
 import org.weldcourse.runtime.Clock;
 
 /**
- * How far a new leader is with reading its predecessor's records back. Before that is complete it admits nothing and
- * knows no machine.
+ * Whether a new leader has restored its predecessor's records. Until then it admits nothing and registers no machine.
  */
 final class RecoveryProgress {
     private static final Logger LOG = LoggerFactory.getLogger(RecoveryProgress.class);
@@ -19,7 +18,7 @@
     private boolean complete;
     private long revision;
 
-    /** The recovery of a term that begins now. */
+    /** Creates the recovery state of a term that starts now. */
     RecoveryProgress(long fencingToken, ClusterState cluster, Clock clock) {
         this.fencingToken = fencingToken;
         this.cluster = cluster;
@@ -27,12 +26,17 @@
         this.electedMicros = clock.nowMicros();
     }
 
-    /** All records were read: so many besides those of open jobs, as of this revision of the store or a later one. */
+    /**
+     * Marks the recovery as complete.
+     *
+     * @param records the number of records read, without those of open jobs
+     * @param asOfRevision the records are at least as new as this revision of the store
+     */
     void completed(int records, long asOfRevision) {
         complete = true;
         revision = asOfRevision;
         LOG.info(
-                "fencing token {}: failover took over {} open jobs, {} records as of revision {}, {} ms after election",
+                "fencing token {}: failover restored {} open jobs and {} other records as of revision {}, {} ms after election",
                 fencingToken,
                 cluster.jobs.size(),
                 records,
@@ -40,12 +44,12 @@
                 (clock.nowMicros() - electedMicros) / 1000);
     }
 
-    /** Whether all records were read. */
+    /** Whether all records were restored. */
     boolean isComplete() {
         return complete;
     }
 
-    /** The revision of the store as of which the records were read, or 0 before. */
+    /** The revision of the store as of which the records were restored, or 0 before. */
     long revision() {
         return revision;
     }
--- a/src/main/java/org/weldcourse/leader/StandbyWarmUp.java
+++ b/src/main/java/org/weldcourse/leader/StandbyWarmUp.java
@@ -15,20 +15,19 @@
 import org.weldcourse.store.Store;
 
 /**
- * Warm-up of a standby controller: runs the leader's code on a made-up cluster. A new leader's first heartbeats and
- * cycles would else be the first that its process ever did: code that was never run is many times as slow, just when
- * all workers come at once after a failover, and on a small share of a core such a leader lost its lease before it was
- * done. So a {@link SyntheticCluster} is planned, sent heartbeats and recorded here, in small steps that leave most of
- * the processor to the node's users. Nothing of it leaves the process, and it ends after some rounds.
+ * JVM warm-up of a standby controller: runs the leader's code on a {@link SyntheticCluster}. Code that has not run yet is
+ * many times slower, and after a failover all workers send heartbeats at once: on a small share of a core, a leader
+ * without warm-up lost its lease before it had handled them. The warm-up runs in small steps that leave most of the
+ * processor to user requests, sends nothing out of the process, and ends after a fixed number of rounds.
  */
 public final class StandbyWarmUp extends ScheduledTask implements Handler {
     private static final int ROUNDS = 24;
-    /** In each round all machines send this many heartbeats; a cycle follows each time. */
+    /** Passes per round. In each pass, every machine sends one heartbeat, and then an admission cycle runs. */
     private static final int PASSES = 3;
 
     private static final int STEPS_PER_PASS = SyntheticCluster.MACHINES + 1;
-    private static final long LEAST_PAUSE_MICROS = 20_000;
-    private static final long ASK_AGAIN_MICROS = 1_000_000;
+    private static final long MIN_PAUSE_MICROS = 20_000;
+    private static final long RECHECK_MICROS = 1_000_000;
 
     private final Settings settings;
     private final Timers timers;
@@ -40,35 +39,35 @@
     private int stepOfRound;
 
     /**
-     * A warm-up that begins when it is started.
+     * Creates a warm-up that runs once it is started.
      *
-     * @param hasSpareTime whether the node has time for the next step; asked again later while it has not
+     * @param hasSpareTime whether the node has spare processor time for the next step; checked again later if not
      */
     public StandbyWarmUp(Settings settings, Clock clock, Timers timers, BooleanSupplier hasSpareTime) {
         super("standby warm-up", clock, timers);
         this.settings = settings;
         this.timers = timers;
         this.hasSpareTime = hasSpareTime;
-        this.discardingStore = new Store(StandbyWarmUp::acknowledge, clock, "nowhere");
+        this.discardingStore = new Store(StandbyWarmUp::acknowledge, clock, "discarding store");
     }
 
-    /** Answers as the real store would, in the same call, and keeps nothing. */
+    /** Acknowledges a store request as the real store would, but synchronously, and stores nothing. */
     private static void acknowledge(Caller.Call call, Caller.Done done) {
         byte[] body = call.body() == null ? new byte[0] : Json.bytes(call.body());
         done.accept(new Caller.Answer(200, body.length == 0 ? Map.of() : Json.of("ledger", 1L)));
     }
 
     /**
-     * From now on the made-up heartbeats take the way of real ones.
+     * Sends the synthetic heartbeats through an HTTP server from now on, so that its code is warmed up too.
      *
-     * @param requests takes the bytes of each HTTP request as if a connection had carried them; it leads to a server
+     * @param requests receives the bytes of each HTTP request, as if from a connection, and passes them to a server
      *     whose handler is this warm-up
      */
     public void useConnection(Consumer<byte[]> requests) {
         connection = requests;
     }
 
-    /** The cluster of the current round, or null before the first. */
+    /** The cluster of the current round, or null before the first round. */
     SyntheticCluster cluster() {
         return cluster;
     }
@@ -84,13 +83,13 @@
             return -1;
         }
         if (!hasSpareTime.getAsBoolean()) {
-            return ASK_AGAIN_MICROS;
+            return RECHECK_MICROS;
         }
         runNextStep();
-        return LEAST_PAUSE_MICROS;
+        return MIN_PAUSE_MICROS;
     }
 
-    /** A round is a new cluster, passes of heartbeats with a cycle after each, and the reading back of the records. */
+    /** Runs one step of a round: create a cluster, then all passes of heartbeats and a cycle, then restore the records. */
     private void runNextStep() {
         int step = stepOfRound++;
         if (step == 0) {
@@ -106,7 +105,7 @@
         } else {
             stepOfRound = 0;
             round++;
-            cluster.readBackRecords();
+            cluster.restoreRecords();
         }
     }
 
--- a/src/main/java/org/weldcourse/leader/SyntheticCluster.java
+++ b/src/main/java/org/weldcourse/leader/SyntheticCluster.java
@@ -46,11 +46,11 @@
 import org.weldcourse.workers.StartCounts;
 
 /**
- * The made-up cluster of one warm-up round: some machines and jobs, on which the code of a leader's term is run. Its
- * time begins at that of the clock and goes on by one heartbeat with each cycle.
+ * The synthetic cluster of one warm-up round: machines and jobs on which the code of a leader's term runs. Its time starts
+ * at the time of the clock and advances by one heartbeat interval per cycle.
  */
 final class SyntheticCluster {
-    /** How many machines there are; they are numbered from 0. */
+    /** Number of machines; they are numbered from 0. */
     static final int MACHINES = 16;
 
     private static final long FENCING_TOKEN = 1;
@@ -58,8 +58,8 @@
     private static final int MAX_TASKS_PER_ADMISSION = 50;
     private static final int MAX_ADMISSIONS = 10;
     private static final int MAX_NEW_MACHINES = 50;
-    /** Machines with more CPUs count as sought by jobs of high priority. */
-    private static final int CPUS_SOUGHT_BY_HIGH_PRIORITY = 8;
+    /** Machines with more CPUs are treated as needed by jobs of high priority. */
+    private static final int HIGH_PRIORITY_CPU_THRESHOLD = 8;
 
     private final Settings settings;
     private final List<MachineType> types;
@@ -73,7 +73,11 @@
     private long nowMicros;
     private int sequence;
 
-    /** A cluster whose records go to this store, which is to answer at once and keep nothing. */
+    /**
+     * Creates a cluster.
+     *
+     * @param store receives the records; it must answer synchronously and store nothing
+     */
     SyntheticCluster(Settings settings, Store store, Clock clock, Timers timers) {
         this.settings = settings;
         this.zones = settings.zones().isEmpty() ? List.of("a") : settings.zones();
@@ -105,7 +109,7 @@
     }
 
     private void addJob(int number, Kind kind, Priority priority, int tasks, double cpus) {
-        JobSpec made = new JobSpec(
+        JobSpec submitted = new JobSpec(
                 "req-" + number,
                 NAME,
                 settings.teams().isEmpty() ? NAME : settings.teams().get(0).name(),
@@ -127,45 +131,45 @@
                 2_000_000,
                 100_000_000);
         try {
-            // By way of its record, as a leader reads it.
-            JobSpec spec =
-                    JobRecordCodec.spec(Json.object(Json.parse(Json.bytes(JobRecordCodec.encode(made, 0, false)))));
+            // Encoded and decoded, as when a leader reads the job's record.
+            JobSpec spec = JobRecordCodec.spec(
+                    Json.object(Json.parse(Json.bytes(JobRecordCodec.encode(submitted, 0, false)))));
             state.jobs.put(spec.id(), new Job(spec, 1, nowMicros));
-        } catch (Json.MalformedJsonException | InvalidJobException impossible) {
-            throw new IllegalStateException(impossible);
+        } catch (Json.MalformedJsonException | InvalidJobException unexpected) {
+            throw new IllegalStateException(unexpected);
         }
     }
 
-    /** What is known of the machines and jobs. */
+    /** The state of the machines and jobs. */
     ClusterState state() {
         return state;
     }
 
-    /** The body of the next heartbeat of the machine with this number; {@code pass} as in {@link SyntheticHeartbeats}. */
+    /** The body of the machine's next heartbeat; {@code pass} as in {@link SyntheticHeartbeats#body}. */
     byte[] heartbeatBody(int number, int pass) {
         Machine machine = state.machines.get(machineName(number));
         String zone = zones.get(number % zones.size());
         return SyntheticHeartbeats.body(machine, zone, number % 3 == 0, ++sequence, FENCING_TOKEN, pass);
     }
 
-    /** Answers a heartbeat as the leader's term does. */
+    /** Answers a heartbeat as a leader's term does. */
     void handleHeartbeat(Request request, Reply reply) {
         Heartbeat heartbeat;
         try {
             heartbeat = HeartbeatCodec.decode(request.body());
-        } catch (MalformedHeartbeatException impossible) {
-            throw new IllegalStateException(impossible);
+        } catch (MalformedHeartbeatException unexpected) {
+            throw new IllegalStateException(unexpected);
         }
         Reconciler.Result result =
                 reconciler.reconcile(state.getOrAddMachine(heartbeat.machine(), nowMicros), heartbeat, true, nowMicros);
         reply.send(200, CommandCodec.encodeHeartbeatResponse(FENCING_TOKEN, result.commands()));
     }
 
-    /** Runs one admission cycle and plans the scale-out that follows from it. */
+    /** Runs one admission cycle and plans the scale-out for its pending tasks. */
     void runCycle() {
         nowMicros += settings.workers().heartbeatIntervalMicros();
         Snapshot snapshot = snapshots.snapshot(
-                nowMicros, machine -> machine.type.cpus() > CPUS_SOUGHT_BY_HIGH_PRIORITY ? Priority.HIGH : null);
+                nowMicros, machine -> machine.type.cpus() > HIGH_PRIORITY_CPU_THRESHOLD ? Priority.HIGH : null);
         CycleDecisions decisions = Planner.decide(
                 snapshot,
                 new Planner.CycleLimits(
@@ -176,8 +180,8 @@
             Job job = state.jobs.get(admission.job());
             int attempt = job.lastAttempt() + 1;
             List<Booking> booked = AttemptBookings.book(state, job, attempt, admission.tasks(), nowMicros);
-            recordWriter.admit(job, attempt, booked, onRecord -> {
-                if (onRecord) {
+            recordWriter.admit(job, attempt, booked, persisted -> {
+                if (persisted) {
                     booked.forEach(Booking::markPersisted);
                 }
             });
@@ -206,8 +210,8 @@
                 demandEstimator.demand(decisions.pending()), hosts, types, Set.of(), MAX_NEW_MACHINES, nowMicros);
     }
 
-    /** Restores the jobs from their records, as a leader reads those of its predecessor. */
-    void readBackRecords() {
+    /** Restores the jobs from their records, as a new leader does with its predecessor's records. */
+    void restoreRecords() {
         for (Job job : state.jobs.values()) {
             AdmittedTasks admitted = new AdmittedTasks();
             job.bookings().forEach(booking -> admitted.add(booking.machine().name, booking.attempt(), booking.task()));
@@ -221,7 +225,7 @@
         }
     }
 
-    /** The cluster lasts one round: nothing follows from the outcome of its writes. */
+    /** Ignores the results of writes: the cluster is discarded after one round. */
     private static final class IgnoredWriterEvents implements RecordWriter.Listener {
         @Override
         public void recordWritten(Job job) {}
--- a/src/main/java/org/weldcourse/leader/SyntheticHeartbeats.java
+++ b/src/main/java/org/weldcourse/leader/SyntheticHeartbeats.java
@@ -9,12 +9,12 @@
 import org.weldcourse.http.Json;
 import org.weldcourse.http.Server.Request;
 
-/** Writes the heartbeats that the made-up machines of a warm-up send, in the wire's names. */
+/** Builds the heartbeats of the synthetic machines of a warm-up, with the field names of the worker protocol. */
 final class SyntheticHeartbeats {
     private static final String METHOD = "POST";
     private static final String PATH = "/checkin";
     private static final String ADDRESS = "127.0.0.1:1";
-    /** The last of the passes, in which some tasks exit. */
+    /** The last pass of a round, in which some tasks exit. */
     private static final int EXIT_PASS = 2;
 
     private SyntheticHeartbeats() {}
@@ -22,9 +22,9 @@
     /**
      * The JSON body of a machine's heartbeat.
      *
-     * @param spot whether it says that it is a spot machine
-     * @param sequence higher than that of the machine's last heartbeat
-     * @param pass 0 to 2: the tasks are fetched, run, and then some of them exit
+     * @param spot whether the machine is reported as a spot machine
+     * @param sequence higher than in the machine's previous heartbeat
+     * @param pass 0 to 2: tasks are fetched in the first pass, run in the second, and some of them exit in the last
      */
     static byte[] body(Machine machine, String zone, boolean spot, long sequence, long fencingToken, int pass) {
         return Json.bytes(Json.of(
@@ -75,12 +75,12 @@
         return task;
     }
 
-    /** The request with this body as the HTTP server hands it on. */
+    /** The request with this body, as the HTTP server passes it to a handler. */
     static Request request(byte[] body) {
         return new Request(METHOD, PATH, body);
     }
 
-    /** The same request as the bytes that a connection carries. */
+    /** The request with this body, as the bytes of an HTTP request on a connection. */
     static byte[] requestBytes(byte[] body) {
         byte[] head = (METHOD + " " + PATH + " HTTP/1.1\r\n"
                         + "Host: warm-up\r\nContent-Type: application/json\r\nContent-Length: " + body.length
--- a/src/main/java/org/weldcourse/leader/TaskEviction.java
+++ b/src/main/java/org/weldcourse/leader/TaskEviction.java
@@ -9,19 +9,19 @@
 import org.weldcourse.cluster.Machine;
 
 /**
- * Graceful eviction: asks for the end of tasks that did not start in time, whose spot machine is about to be reclaimed
- * by the cloud, or that are preempted. Tasks with checkpoints are given the time to save.
+ * Graceful eviction: requests the stop of tasks that did not start in time, whose spot machine is about to be reclaimed
+ * by the cloud, or that are preempted. Tasks with checkpoints get a grace period to save one.
  */
 final class TaskEviction {
     private static final Logger LOG = LoggerFactory.getLogger(TaskEviction.class);
-    /** Taken for a machine whose type is not known. */
+    /** Assumed for a machine whose type is not known. */
     private static final double DEFAULT_FETCH_GB_PER_SECOND = 0.1;
 
-    private static final double LEAST_FETCH_GB_PER_SECOND = 0.01;
-    /** Granted to a gang beyond its wait and twice its longest fetch. */
-    private static final long GANG_SLACK_MICROS = 15_000_000;
-    /** Added to the time that saving a checkpoint takes. */
-    private static final long SAVE_SLACK_MICROS = 1_000_000;
+    private static final double MIN_FETCH_GB_PER_SECOND = 0.01;
+    /** Start time granted to a gang beyond its gang wait and twice the image fetch. */
+    private static final long GANG_START_MARGIN_MICROS = 15_000_000;
+    /** Added to the expected time for saving a checkpoint. */
+    private static final long CHECKPOINT_SAVE_MARGIN_MICROS = 1_000_000;
 
     private final ClusterState cluster;
     private final long gangWaitMicros;
@@ -31,14 +31,14 @@
         this.gangWaitMicros = gangWaitMicros;
     }
 
-    /** Evicts a gang that is not running whole within the wait that covers its fetches; it is queued again. */
-    void evictGangIfLate(Job job, long nowMicros) {
+    /** Evicts a gang, which is then queued again, if not all of its tasks run before the start timeout. */
+    void evictGangOnStartTimeout(Job job, long nowMicros) {
         for (Booking booking : job.bookings()) {
-            long startLimitMicros = gangWaitMicros + twiceFetchMicros(booking) + GANG_SLACK_MICROS;
-            boolean late = nowMicros - booking.bookedMicros() > startLimitMicros;
-            if (late && !booking.isRunning() && !booking.isStopRequested()) {
+            long startTimeoutMicros = gangWaitMicros + twiceFetchMicros(booking) + GANG_START_MARGIN_MICROS;
+            boolean timedOut = nowMicros - booking.bookedMicros() > startTimeoutMicros;
+            if (timedOut && !booking.isRunning() && !booking.isStopRequested()) {
                 LOG.info(
-                        "{} attempt {} did not start in time on {}",
+                        "{} attempt {} did not start on {} before its timeout",
                         booking.taskId(),
                         booking.attempt(),
                         booking.machine().name);
@@ -52,10 +52,10 @@
         double gbPerSecond = booking.machine().type == null
                 ? DEFAULT_FETCH_GB_PER_SECOND
                 : booking.machine().type.fetchGbPerSecond();
-        return Math.round(booking.job().spec().imageGb() / Math.max(LEAST_FETCH_GB_PER_SECOND, gbPerSecond) * 2e6);
+        return Math.round(booking.job().spec().imageGb() / Math.max(MIN_FETCH_GB_PER_SECOND, gbPerSecond) * 2e6);
     }
 
-    /** Evicts tasks that won't finish before the cloud reclaims their spot machine, so that they save what they can. */
+    /** Evicts tasks that won't finish before the cloud reclaims their spot machine, so that they can save a checkpoint. */
     void evictBeforeReclaim(Machine machine, long nowMicros) {
         if (machine.reclaimAtMicros == Long.MAX_VALUE) {
             return;
@@ -68,7 +68,7 @@
                 continue;
             }
             LOG.debug(
-                    "{} attempt {} is evicted from {}, which the cloud reclaims",
+                    "{} attempt {} is evicted from {}, which the cloud is about to reclaim",
                     booking.taskId(),
                     booking.attempt(),
                     machine.name);
@@ -76,10 +76,13 @@
         }
     }
 
-    /** Asks the task to end, with a grace period for its checkpoint if it saves any; a gang is evicted whole. */
+    /**
+     * Requests the stop of a task, with a grace period if it saves checkpoints. If the task belongs to a gang, the whole
+     * gang is evicted.
+     */
     void evict(Booking booking) {
         long graceMicros = booking.job().spec().checkpointIntervalMicros() > 0
-                ? booking.job().spec().checkpointSaveMicros() + SAVE_SLACK_MICROS
+                ? booking.job().spec().checkpointSaveMicros() + CHECKPOINT_SAVE_MARGIN_MICROS
                 : 0;
         if (booking.job().spec().isGang()) {
             cluster.evict(booking.job(), graceMicros);
--- a/src/main/java/org/weldcourse/leader/package-info.java
+++ b/src/main/java/org/weldcourse/leader/package-info.java
@@ -1,7 +1,6 @@
 /**
- * What a controller does while it is the leader. A {@link org.weldcourse.leader.LeaderTerm} lasts from election to
- * deposition under one fencing token and owns the state of the cluster: it recovers its predecessor's records, answers
- * the workers' heartbeats and runs the admission cycle. Here also: the warm-up of a
- * standby that may become the leader.
+ * The work of the leader. A {@link org.weldcourse.leader.LeaderTerm} lasts from election to deposition under one fencing
+ * token and owns the state of the cluster: it restores its predecessor's records, answers the workers' heartbeats and
+ * runs the admission cycle. The package also contains the warm-up of a standby.
  */
 package org.weldcourse.leader;
--- a/src/main/java/org/weldcourse/persistence/AdmissionRecords.java
+++ b/src/main/java/org/weldcourse/persistence/AdmissionRecords.java
@@ -12,8 +12,8 @@
 import org.weldcourse.store.Transaction;
 
 /**
- * The records of what is admitted of a job. A large admission is spread over several, each of a size that the store allows;
- * where the layout has room for it, each carries all of the job's finished tasks too.
+ * Writes the records of a job's admitted tasks. A large admission is split into several records, each within the store's
+ * size limit. Where the layout has room for them, each record also contains all of the job's finished tasks.
  */
 final class AdmissionRecords {
     private final FencedCommits fenced;
@@ -29,24 +29,25 @@
     }
 
     /**
-     * Writes an admission in this commit, which may hold conditions of its own. It goes into a record that the job has
-     * already, along with what is finished, as long as it fits: changes are dear, their size is not.
+     * Writes an admission with the given commit, which may already hold conditions. If it fits, the admission is added to
+     * an existing record of the job, together with the finished tasks: the store limits the rate of writes more tightly
+     * than their size.
      */
-    void admit(Job job, int attempt, List<Booking> booked, Transaction txn, RecordWriter.WriteCallback then) {
+    void admit(Job job, int attempt, List<Booking> booked, Transaction txn, RecordWriter.WriteCallback callback) {
         Map<String, AdmittedTasks> writes = new LinkedHashMap<>();
         for (String key : job.records().keys()) {
             if (key.startsWith(StoreKeys.ADMISSIONS)) {
-                AdmittedTasks both = addAll(standing(job, key), attempt, booked);
-                if (both.split(layout.admissionBytes(job)).size() == 1) {
-                    writes.put(key, both);
+                AdmittedTasks combined = addAll(currentContent(job, key), attempt, booked);
+                if (combined.split(layout.admissionBytes(job)).size() == 1) {
+                    writes.put(key, combined);
                     break;
                 }
             }
         }
         if (writes.isEmpty()) {
-            writes.putAll(spread(job, addAll(new AdmittedTasks(), attempt, booked), null));
+            writes.putAll(splitIntoRecords(job, addAll(new AdmittedTasks(), attempt, booked), null));
         }
-        write(job, txn, writes, then);
+        write(job, txn, writes, callback);
     }
 
     private static AdmittedTasks addAll(AdmittedTasks admitted, int attempt, List<Booking> booked) {
@@ -54,16 +55,17 @@
         return admitted;
     }
 
-    /** Writes one of the job's records anew, so that it carries what is finished by now; the one that takes the least changes. */
-    void saveDone(Job job, RecordWriter.WriteCallback then) {
+    /** Saves the finished tasks by rewriting the one of the job's records that needs the fewest writes. */
+    void saveFinishedTasks(Job job, RecordWriter.WriteCallback callback) {
         Map<String, AdmittedTasks> smallest = null;
         for (String key : job.records().keys()) {
             if (!key.startsWith(StoreKeys.ADMISSIONS)) {
                 continue;
             }
-            // One that was written under larger limits may have to be divided.
-            AdmittedTasks standing = standing(job, key);
-            Map<String, AdmittedTasks> writes = standing.isEmpty() ? Map.of(key, standing) : spread(job, standing, key);
+            // A record that was written under larger limits may have to be split.
+            AdmittedTasks current = currentContent(job, key);
+            Map<String, AdmittedTasks> writes =
+                    current.isEmpty() ? Map.of(key, current) : splitIntoRecords(job, current, key);
             if (smallest == null || writes.size() < smallest.size()) {
                 smallest = writes;
             }
@@ -72,12 +74,12 @@
             }
         }
         if (smallest != null && smallest.size() <= txnOps) {
-            write(job, fenced.fenced(), smallest, then);
+            write(job, fenced.fenced(), smallest, callback);
         }
     }
 
-    /** Spreads what is admitted over a record that the job has, if one is named, and as many new ones as it takes. */
-    private Map<String, AdmittedTasks> spread(Job job, AdmittedTasks admitted, String firstKey) {
+    /** Distributes admitted tasks over {@code firstKey}, if it is not null, and as many new records as needed. */
+    private Map<String, AdmittedTasks> splitIntoRecords(Job job, AdmittedTasks admitted, String firstKey) {
         Map<String, AdmittedTasks> writes = new LinkedHashMap<>();
         String key = firstKey;
         int number = 0;
@@ -92,35 +94,35 @@
         return writes;
     }
 
-    /** What a record has to go on holding. */
-    private static AdmittedTasks standing(Job job, String key) {
-        AdmittedTasks standing = new AdmittedTasks();
+    /** The admitted tasks that a record must still contain: those of its current bookings. */
+    private static AdmittedTasks currentContent(Job job, String key) {
+        AdmittedTasks current = new AdmittedTasks();
         for (Booking booking : job.bookings()) {
             if (key.equals(booking.recordKey())) {
-                standing.add(booking.machine().name, booking.attempt(), booking.task());
+                current.add(booking.machine().name, booking.attempt(), booking.task());
             }
         }
-        return standing;
+        return current;
     }
 
-    private void write(Job job, Transaction txn, Map<String, AdmittedTasks> writes, RecordWriter.WriteCallback then) {
+    private void write(Job job, Transaction txn, Map<String, AdmittedTasks> writes, RecordWriter.WriteCallback callback) {
         BitSet done = layout.isInAdmissions(job) ? job.doneTasks() : null;
         int writeNumber = job.records().nextWriteNumber();
         Map<String, Map<String, Object>> records = new LinkedHashMap<>();
         writes.forEach((key, part) ->
                 records.put(key, AdmissionRecordCodec.encode(part, job.lastAttempt(), writeNumber, done)));
-        commits.commit(job, txn, records, writeNumber, onRecord -> {
-            if (onRecord && done != null) {
+        commits.commit(job, txn, records, writeNumber, persisted -> {
+            if (persisted && done != null) {
                 job.markDonePersisted(done);
             }
-            if (onRecord) {
-                writes.forEach((key, part) -> nameRecord(job, key, part));
+            if (persisted) {
+                writes.forEach((key, part) -> setRecordKeys(job, key, part));
             }
-            then.completed(onRecord);
+            callback.completed(persisted);
         });
     }
 
-    private static void nameRecord(Job job, String key, AdmittedTasks part) {
+    private static void setRecordKeys(Job job, String key, AdmittedTasks part) {
         part.visit((machine, attempt, first, last) -> {
             for (int task = first; task <= last; task++) {
                 Booking booking = job.booking(task);
--- a/src/main/java/org/weldcourse/persistence/FailoverRecovery.java
+++ b/src/main/java/org/weldcourse/persistence/FailoverRecovery.java
@@ -13,44 +13,44 @@
 import org.weldcourse.store.Store;
 import org.weldcourse.store.Store.Outcome;
 
-/** Recovery after a failover: books again what the records say is admitted, and notes what has finished. */
+/** Recovery after a failover: restores finished tasks and bookings from the records. */
 final class FailoverRecovery {
     private final Store store;
     private final Clock clock;
     private final Timers timers;
     private final ClusterState cluster;
-    private final RecordWriter recorder;
+    private final RecordWriter recordWriter;
     private final JobRecordRestorer restorer;
     private final UnreadableRecords unreadable;
     private final RecordReader.Listener listener;
-    private boolean ended;
+    private boolean stopped;
 
     FailoverRecovery(
             Store store,
             Clock clock,
             Timers timers,
             ClusterState cluster,
-            RecordWriter recorder,
+            RecordWriter recordWriter,
             UnreadableRecords unreadable,
             RecordReader.Listener listener) {
         this.store = store;
         this.clock = clock;
         this.timers = timers;
         this.cluster = cluster;
-        this.recorder = recorder;
-        this.restorer = recorder.restorer();
+        this.recordWriter = recordWriter;
+        this.restorer = recordWriter.restorer();
         this.unreadable = unreadable;
         this.listener = listener;
     }
 
-    /** Nothing that is still under way counts any more. */
-    void end() {
-        ended = true;
+    /** Stops the recovery: responses to requests in flight are ignored. */
+    void stop() {
+        stopped = true;
     }
 
-    /** Reads the records of the jobs that are open, and of what may still be on machines of others. */
+    /** Reads the records of open jobs, and of the tasks of ended jobs that may still be on machines. */
     void load() {
-        if (ended) {
+        if (stopped) {
             return;
         }
         store.list(
@@ -59,11 +59,11 @@
                         StoreKeys.FINISHED_TASKS,
                         finishedTasks -> store.list(
                                 StoreKeys.OUTSTANDING,
-                                outstanding -> recordsRead(admissions, finishedTasks, outstanding))));
+                                outstanding -> restoreRecords(admissions, finishedTasks, outstanding))));
     }
 
-    private void recordsRead(Store.Listing admissions, Store.Listing finishedTasks, Store.Listing outstanding) {
-        if (ended) {
+    private void restoreRecords(Store.Listing admissions, Store.Listing finishedTasks, Store.Listing outstanding) {
+        if (stopped) {
             return;
         }
         if (admissions.outcome() != Outcome.OK
@@ -74,20 +74,20 @@
         }
         restoreOpenJobs(admissions.entries(), finishedTasks.entries());
         outstanding.entries().forEach(this::restoreOutstanding);
-        unreadable.allRead();
+        unreadable.countUnbookedTasks();
         int records = admissions.entries().size()
                 + finishedTasks.entries().size()
                 + outstanding.entries().size();
         listener.recordsLoaded(records, admissions.revision());
     }
 
-    /** What may still be on machines of a job that is over counts and is stopped, as under the leader before. */
+    /** Books and stops the tasks of an ended job that may still be on machines, as the previous leader did. */
     private void restoreOutstanding(Store.Entry entry) {
         try {
             Job job = OutstandingRecord.restore(cluster, entry.value(), clock.nowMicros());
             cluster.outstandingJobs.put(job.spec().id(), job);
-        } catch (RuntimeException | InvalidJobException why) {
-            unreadable.outstanding(entry.key(), entry.value(), why);
+        } catch (RuntimeException | InvalidJobException exception) {
+            unreadable.addOutstanding(entry.key(), entry.value(), exception);
         }
     }
 
@@ -99,28 +99,28 @@
             String id = StoreKeys.jobId(entry.key());
             Job job = cluster.jobs.get(id);
             if (job != null) {
-                noteIfUnreadable(job, entry, () -> restorer.restore(job, entry));
-            } else if (unreadable.isOpenJob(id)) {
-                unreadable.admissionOfOpenJob(id);
+                markUnreadableOnError(job, entry, () -> restorer.restore(job, entry));
+            } else if (unreadable.containsOpenJob(id)) {
+                unreadable.countAdmissionOfOpenJob(id);
             } else {
                 orphans.add(entry.key());
             }
         }
-        // Only now, since what has finished is not booked again, whichever record says so.
+        // After all records are read: a task is not booked if any of them shows it as finished.
         for (Store.Entry entry : admissions) {
             Job job = cluster.jobs.get(StoreKeys.jobId(entry.key()));
             if (job != null) {
-                noteIfUnreadable(job, entry, () -> restoreBookings(job, entry));
+                markUnreadableOnError(job, entry, () -> restoreBookings(job, entry));
             }
         }
-        recorder.deleteInBackground(orphans);
+        recordWriter.deleteInBackground(orphans);
     }
 
-    private void noteIfUnreadable(Job job, Store.Entry entry, Runnable read) {
+    private void markUnreadableOnError(Job job, Store.Entry entry, Runnable read) {
         try {
             read.run();
-        } catch (RuntimeException why) {
-            unreadable.admission(job, entry.key(), why);
+        } catch (RuntimeException exception) {
+            unreadable.addAdmission(job, entry.key(), exception);
         }
     }
 
@@ -133,7 +133,7 @@
         });
     }
 
-    /** A task may stand in several records; the last of its admissions is the one that counts. */
+    /** Books a task as admitted. Of several admissions of the task, the one with the highest attempt counts. */
     private void restoreBooking(Job job, int task, int attempt, String machineName, String recordKey, long nowMicros) {
         job.recordAttempt(attempt);
         Booking earlier = job.booking(task);
--- a/src/main/java/org/weldcourse/persistence/FencedCommits.java
+++ b/src/main/java/org/weldcourse/persistence/FencedCommits.java
@@ -9,76 +9,82 @@
 import org.weldcourse.store.Store.Outcome;
 import org.weldcourse.store.Transaction;
 
-/** A leader's writes: each is fenced by the token of its term, and together they keep to a part of the budget of changes. */
+/** A leader's writes: each is fenced by the token of its term, and they are rate-limited to a share of the write budget. */
 final class FencedCommits {
-    /** Background writes leave this share of the budget to users and other controllers. */
-    private static final double SHARE_OF_WRITES = 0.7;
-    /** A longer burst of the leader's would leave the next submissions none of the second's worth that is allowed. */
+    /** The leader's share of the write budget; the rest is left to user requests and other controllers. */
+    private static final double LEADER_WRITE_SHARE = 0.7;
+    /** A longer burst of the leader would use up the budget of one second and leave none to submissions. */
     private static final double BURST_SECONDS = 0.5;
 
-    private static final double LEFT_BY_BACKGROUND = 0.2;
+    /** Background writes leave at least the write budget of this time to admissions and the ends of jobs. */
+    private static final double BACKGROUND_RESERVE_SECONDS = 0.2;
+
     private static final String FENCING_TOKEN_KEY = "epoch";
 
     private final Store store;
     private final Timers timers;
     private final double writesPerSecond;
     private final long fencingTokenVersion;
-    private final RateLimiter pacer;
-    private final Runnable superseded;
-    private boolean ended;
+    private final RateLimiter rateLimiter;
+    private final Runnable onSuperseded;
+    private boolean stopped;
 
-    /** What goes into a transaction besides the condition on the fencing token. */
+    /** Content of a transaction besides the condition on the fencing token. */
     public interface TransactionContent {
-        /** Adds conditions and changes. */
+        /** Adds conditions and changes to the transaction. */
         void addTo(Transaction txn);
     }
 
-    /** {@code superseded} runs when the condition on the fencing token failed. */
+    /**
+     * Creates the writes of a term.
+     *
+     * @param onSuperseded runs when the condition on the fencing token has failed
+     */
     FencedCommits(
             Store store,
             Clock clock,
             Timers timers,
             Settings.StoreLimits limits,
             long fencingTokenVersion,
-            Runnable superseded) {
+            Runnable onSuperseded) {
         this.store = store;
         this.timers = timers;
         this.writesPerSecond = limits.safeWritesPerSecond();
         this.fencingTokenVersion = fencingTokenVersion;
-        this.superseded = superseded;
-        this.pacer = new RateLimiter(
-                clock, writesPerSecond * SHARE_OF_WRITES, writesPerSecond * SHARE_OF_WRITES * BURST_SECONDS);
+        this.onSuperseded = onSuperseded;
+        this.rateLimiter = new RateLimiter(
+                clock, writesPerSecond * LEADER_WRITE_SHARE, writesPerSecond * LEADER_WRITE_SHARE * BURST_SECONDS);
     }
 
-    /** Nothing more is written, and no answer counts any more. */
-    void end() {
-        ended = true;
+    /** Stops all writes, and ignores responses to those in flight. */
+    void stop() {
+        stopped = true;
     }
 
-    boolean isEnded() {
-        return ended;
+    boolean isStopped() {
+        return stopped;
     }
 
-    /** A transaction that is carried out only while no other leader was elected. */
+    /** Creates a transaction that is applied only if no other leader was elected. */
     Transaction fenced() {
         return new Transaction().ifModRevision(FENCING_TOKEN_KEY, fencingTokenVersion);
     }
 
-    /** Sends a transaction until its fate is certain. */
+    /** Sends a transaction, with retries, until its result is definite. */
     void send(Transaction txn, RetryingCommit.Callback done) {
-        pacer.consume(txn.operationCount());
-        RetryingCommit.send(store, timers, txn, () -> !ended, (commit, unclear) -> {
+        rateLimiter.consume(txn.operationCount());
+        RetryingCommit.send(store, timers, txn, () -> !stopped, (commit, afterUnansweredAttempt) -> {
             if (commit.outcome() == Outcome.REFUSED && commit.failed().contains(FENCING_TOKEN_KEY)) {
-                superseded.run();
+                onSuperseded.run();
                 return;
             }
-            done.accept(commit, unclear);
+            done.accept(commit, afterUnansweredAttempt);
         });
     }
 
-    /** Writes something that can wait; false when the budget of changes has no room for it now. */
+    /** Sends a write of low priority; returns false, and sends nothing, while the write budget is low. */
     boolean writeInBackground(TransactionContent content, RetryingCommit.Callback done) {
-        if (!mayWriteInBackground()) {
+        if (!tryReserveBackgroundWrite()) {
             return false;
         }
         Transaction txn = fenced();
@@ -87,13 +93,13 @@
         return true;
     }
 
-    /** Admissions and endings come first: bookkeeping has to leave some of the budget. */
-    boolean mayWriteInBackground() {
-        return pacer.tryAcquireAboveReserve(writesPerSecond * LEFT_BY_BACKGROUND);
+    /** Takes a permit for a background write if that leaves the reserve for admissions and the ends of jobs. */
+    boolean tryReserveBackgroundWrite() {
+        return rateLimiter.tryAcquireAboveReserve(writesPerSecond * BACKGROUND_RESERVE_SECONDS);
     }
 
-    /** How many changes the budget has room for now. */
-    int available() {
-        return pacer.available();
+    /** The number of operations that the write budget allows now. */
+    int availableOperations() {
+        return rateLimiter.available();
     }
 }
--- a/src/main/java/org/weldcourse/persistence/FinishedTaskLayout.java
+++ b/src/main/java/org/weldcourse/persistence/FinishedTaskLayout.java
@@ -7,41 +7,44 @@
 import org.weldcourse.store.Store;
 
 /**
- * Where the finished tasks of a job are kept: as bits in its admission records where those have room for them, else in
- * shards of their own under {@code done/}, each of so many consecutive tasks.
+ * The storage layout of a job's finished tasks: bits in its admission records where those have room for them, else shards
+ * under {@code done/}, each for a fixed number of consecutive tasks.
  */
 final class FinishedTaskLayout {
     private static final int MAX_SHARD_TASKS = 16_000;
     /**
-     * Shards of another size than earlier versions know have numbers from here on and say where they begin. To an earlier
-     * version they lie beyond the last task of any job: it leaves them out, where it would else take other tasks for
-     * finished.
+     * First number of shards whose size differs from the default. These shards contain the index of their first task.
+     * Earlier versions compute the first task from the number: they place these shards beyond the last task of any job and
+     * ignore them, instead of marking wrong tasks as finished.
      */
-    private static final int FIRST_FINE_SHARD = 100_000;
+    private static final int FIRST_CUSTOM_SIZE_SHARD = 100_000;
 
     private final int valueBytes;
-    /** How versions that know of no lower limits divide finished tasks: the number of a shard says where it begins. */
-    private final int plainShardTasks;
+    /**
+     * Tasks per shard under the plain limits, as used by versions that don't know lower limits: they compute a shard's
+     * first task from its number.
+     */
+    private final int defaultShardTasks;
 
     private final int shardTasks;
 
     FinishedTaskLayout(Settings.StoreLimits limits) {
         this.valueBytes = limits.safeValueBytes();
-        this.plainShardTasks = shardTasks(limits.valueBytes());
+        this.defaultShardTasks = shardTasks(limits.valueBytes());
         this.shardTasks = shardTasks(valueBytes);
     }
 
-    /** Tasks whose bits fit one value as base64, with room for the frame around them. */
+    /** The number of tasks whose bits fit into one value as base64, with room for the other fields. */
     private static int shardTasks(int valueBytes) {
         return Math.min(MAX_SHARD_TASKS, Math.max(1, (valueBytes - 64) / 4 * 3) * 8);
     }
 
-    /** Whether a job's admission records have room for its finished tasks; those of very large ones are kept in shards. */
+    /** Whether a job's admission records have room for its finished tasks; those of very large jobs are kept in shards. */
     boolean isInAdmissions(Job job) {
         return FinishedTasksCodec.maxEncodedBytes(job.spec().tasks()) <= valueBytes / 4;
     }
 
-    /** Bytes that an admission record of the job has for what is admitted. */
+    /** The bytes that an admission record of the job can use for admitted tasks. */
     int admissionBytes(Job job) {
         return valueBytes
                 - (isInAdmissions(job)
@@ -49,27 +52,28 @@
                         : 0);
     }
 
-    /** How many consecutive tasks a shard holds. */
+    /** The number of consecutive tasks in a shard. */
     int shardTasks() {
         return shardTasks;
     }
 
     /**
-     * Whether versions that know of no lower limits read a job's shards: its tasks are divided as they would divide
-     * them, or all lie in the first shard, which begins at the first task however large it is.
+     * Whether versions that don't know lower limits can read the job's shards: either the shard size is the default, or
+     * all tasks are in the first shard, which starts at task 0 whatever its size.
      */
-    boolean hasPlainShards(Job job) {
-        return shardTasks == plainShardTasks || job.spec().tasks() <= shardTasks;
+    boolean earlierVersionsCanRead(Job job) {
+        return shardTasks == defaultShardTasks || job.spec().tasks() <= shardTasks;
     }
 
-    /** The key of a job's shard, counted from 0. */
+    /** The key of a job's shard; shards are counted from 0. */
     String shardKey(Job job, int shard) {
-        return StoreKeys.finishedTasks(job.spec().id(), hasPlainShards(job) ? shard : FIRST_FINE_SHARD + shard);
+        return StoreKeys.finishedTasks(
+                job.spec().id(), earlierVersionsCanRead(job) ? shard : FIRST_CUSTOM_SIZE_SHARD + shard);
     }
 
-    /** The first task that a shard of whatever version speaks of. */
+    /** The first task of a shard that was written by any version. */
     int firstTask(Store.Entry shard) {
         return FinishedTasksCodec.firstTask(
-                shard.value(), (long) StoreKeys.recordNumber(shard.key()) * plainShardTasks);
+                shard.value(), (long) StoreKeys.recordNumber(shard.key()) * defaultShardTasks);
     }
 }
--- a/src/main/java/org/weldcourse/persistence/FinishedTaskShards.java
+++ b/src/main/java/org/weldcourse/persistence/FinishedTaskShards.java
@@ -7,7 +7,7 @@
 import org.weldcourse.jobs.FinishedTasksCodec;
 import org.weldcourse.store.Transaction;
 
-/** The records of the finished tasks of a job that is too large to keep them in its admissions. */
+/** Writes the finished tasks of jobs that are too large to keep them in their admission records. */
 final class FinishedTaskShards {
     private final FencedCommits fenced;
     private final JobRecordCommits commits;
@@ -21,9 +21,9 @@
         this.txnOps = txnOps;
     }
 
-    /** Writes the shards whose tasks are not on record as they are, as many as one commit may hold. */
-    void save(Job job, RecordWriter.WriteCallback then) {
-        BitSet saving = job.doneTasks();
+    /** Writes the shards whose persisted content is out of date, up to the number that one commit may hold. */
+    void save(Job job, RecordWriter.WriteCallback callback) {
+        BitSet toSave = job.doneTasks();
         int writeNumber = job.records().nextWriteNumber();
         Transaction txn = fenced.fenced();
         Map<String, Map<String, Object>> records = new LinkedHashMap<>();
@@ -31,23 +31,23 @@
         for (int shard = 0; shard * shardTasks < job.spec().tasks(); shard++) {
             int from = shard * shardTasks;
             int to = Math.min(job.spec().tasks(), from + shardTasks);
-            BitSet now = saving.get(from, to);
-            if (records.size() >= txnOps || now.equals(job.persistedDone(from, to))) {
-                saving.clear(from, to);
+            BitSet current = toSave.get(from, to);
+            if (records.size() >= txnOps || current.equals(job.persistedDone(from, to))) {
+                toSave.clear(from, to);
                 continue;
             }
-            records.put(layout.shardKey(job, shard), record(job, now, writeNumber, from));
+            records.put(layout.shardKey(job, shard), record(job, current, writeNumber, from));
         }
-        commits.commit(job, txn, records, writeNumber, onRecord -> {
-            if (onRecord) {
-                job.markDonePersisted(saving);
+        commits.commit(job, txn, records, writeNumber, persisted -> {
+            if (persisted) {
+                job.markDonePersisted(toSave);
             }
-            then.completed(onRecord);
+            callback.completed(persisted);
         });
     }
 
     private Map<String, Object> record(Job job, BitSet tasks, int writeNumber, int from) {
-        return layout.hasPlainShards(job)
+        return layout.earlierVersionsCanRead(job)
                 ? FinishedTasksCodec.encodeShard(tasks, writeNumber)
                 : FinishedTasksCodec.encodeShardFrom(from, tasks, writeNumber);
     }
--- a/src/main/java/org/weldcourse/persistence/JobCloser.java
+++ b/src/main/java/org/weldcourse/persistence/JobCloser.java
@@ -12,10 +12,10 @@
 import org.weldcourse.settings.Settings;
 import org.weldcourse.store.Transaction;
 
-/** Moves jobs that are over to their final records, and deletes what else is on record of them in quieter times. */
+/** Moves ended jobs to their final records, and deletes their other records in the background. */
 final class JobCloser {
     private static final Logger LOG = LoggerFactory.getLogger(JobCloser.class);
-    private static final long DELETE_AGAIN_MICROS = 1_000_000;
+    private static final long DELETE_RETRY_MICROS = 1_000_000;
 
     private final Timers timers;
     private final FencedCommits fenced;
@@ -39,8 +39,8 @@
     }
 
     /**
-     * Moves a job that is over to its final record; the rest of its records follow in their own time. What may still be on
-     * machines is put on a record of its own in the same transaction, so that the next leader counts it too.
+     * Replaces the open record of an ended job by its final record; its other records are deleted in the background. The
+     * same transaction writes a record of the tasks that may still be on machines, so that the next leader counts them.
      */
     void close(Job job) {
         if (job.isClosing() || job.isClosed() || job.records().isWriteInFlight()) {
@@ -48,12 +48,12 @@
         }
         Map<String, Object> outstanding = job.bookings().isEmpty() ? null : OutstandingRecord.encode(job, valueBytes);
         if (outstanding == null && !job.bookings().isEmpty()) {
-            // Too large to be kept: the job ends once there is evidence that nothing of it is left.
+            // The record exceeds the store's value size. The job ends once there is evidence that its tasks are gone.
             return;
         }
         job.beginClosing();
         String id = job.spec().id();
-        String state = job.isCancelled() ? "cancelled" : "done";
+        String outcome = job.isCancelled() ? "cancelled" : "done";
         Transaction txn = fenced.fenced()
                 .ifModRevision(StoreKeys.openJob(id), job.records().jobRevision())
                 .delete(StoreKeys.openJob(id))
@@ -62,12 +62,11 @@
             job.markOutstandingPersisted();
             txn.put(StoreKeys.outstanding(id), outstanding);
         }
-        // Bookkeeping is left for quieter times.
-        List<String> rest = new ArrayList<>(job.records().keys());
+        List<String> otherKeys = new ArrayList<>(job.records().keys());
         commits.send(id, txn, StoreKeys.finalState(id), isThere -> true, new ConfirmedCommits.Result() {
             @Override
             public void written(long modRevision) {
-                closed(job, state, rest);
+                closed(job, outcome, otherKeys);
             }
 
             @Override
@@ -78,26 +77,26 @@
         });
     }
 
-    private void closed(Job job, String state, List<String> rest) {
-        LOG.info("{} is {}", job.spec().id(), state);
+    private void closed(Job job, String outcome, List<String> otherKeys) {
+        LOG.info("{} is {}", job.spec().id(), outcome);
         job.markClosed();
-        deleteInBackground(rest);
+        deleteInBackground(otherKeys);
         listener.recordWritten(job);
     }
 
-    /** Deletes records that no open job needs any more. */
+    /** Deletes records that are no longer needed, in batches, when the write budget allows it. */
     void deleteInBackground(List<String> keys) {
-        if (keys.isEmpty() || fenced.isEnded()) {
+        if (keys.isEmpty() || fenced.isStopped()) {
             return;
         }
-        if (!fenced.mayWriteInBackground()) {
-            timers.after(DELETE_AGAIN_MICROS, () -> deleteInBackground(keys));
+        if (!fenced.tryReserveBackgroundWrite()) {
+            timers.after(DELETE_RETRY_MICROS, () -> deleteInBackground(keys));
             return;
         }
-        int some = Math.min(keys.size(), Math.max(1, txnOps / 2));
+        int batchSize = Math.min(keys.size(), Math.max(1, txnOps / 2));
         Transaction txn = fenced.fenced();
-        keys.subList(0, some).forEach(txn::delete);
-        List<String> rest = new ArrayList<>(keys.subList(some, keys.size()));
-        fenced.send(txn, (commit, unclear) -> deleteInBackground(rest));
+        keys.subList(0, batchSize).forEach(txn::delete);
+        List<String> rest = new ArrayList<>(keys.subList(batchSize, keys.size()));
+        fenced.send(txn, (commit, afterUnansweredAttempt) -> deleteInBackground(rest));
     }
 }
--- a/src/main/java/org/weldcourse/persistence/JobRecordCommits.java
+++ b/src/main/java/org/weldcourse/persistence/JobRecordCommits.java
@@ -12,7 +12,7 @@
 import org.weldcourse.store.Store.Outcome;
 import org.weldcourse.store.Transaction;
 
-/** Writes a job's records, one commit at a time, and keeps their revisions. */
+/** Writes a job's records, one commit at a time, and keeps track of their revisions. */
 final class JobRecordCommits {
     private final Store store;
     private final Clock clock;
@@ -37,16 +37,16 @@
     }
 
     /**
-     * Commits records of a job, which each carry the number of this write: by it, one whose commit had no answer is told
-     * from others. Each is conditional on its revision: an attempt that was given up may still be applied late, and would
-     * put back what a later one took out.
+     * Commits records of a job. Each record contains the number of this write, which identifies it when it is read back
+     * after a commit without a response. Each write is conditional on the record's revision: an abandoned attempt may be
+     * applied late, and would restore entries that a later write removed.
      */
     void commit(
             Job job,
             Transaction txn,
             Map<String, Map<String, Object>> records,
             int writeNumber,
-            RecordWriter.WriteCallback then) {
+            RecordWriter.WriteCallback callback) {
         txn.ifModRevision(StoreKeys.openJob(job.spec().id()), job.records().jobRevision());
         records.forEach((key, record) ->
                 txn.ifModRevision(key, job.records().revision(key)).put(key, record));
@@ -60,7 +60,7 @@
                     @Override
                     public void written(long modRevision) {
                         job.records().writeApplied(records.keySet(), modRevision);
-                        then.completed(true);
+                        callback.completed(true);
                     }
 
                     @Override
@@ -71,29 +71,29 @@
                     @Override
                     public void refused() {
                         job.records().writeRefused();
-                        then.completed(false);
+                        callback.completed(false);
                         listener.jobRecordChanged(job);
                     }
                 });
     }
 
-    /** Reads the revisions of a job's records anew, after a write that they refused. */
-    void rereadRevisions(Job job, Runnable then) {
+    /** Reads the revisions of a job's records again, after a write that failed its conditions on them. */
+    void rereadRevisions(Job job, Runnable callback) {
         store.list(
                 StoreKeys.admissions(job.spec().id()),
                 admissions -> store.list(StoreKeys.FINISHED_TASKS + job.spec().id() + "/", shards -> {
-                    if (fenced.isEnded()) {
+                    if (fenced.isStopped()) {
                         return;
                     }
                     if (admissions.outcome() != Outcome.OK || shards.outcome() != Outcome.OK) {
-                        timers.after(ConfirmedCommits.READ_AGAIN_MICROS, () -> rereadRevisions(job, then));
+                        timers.after(ConfirmedCommits.READ_RETRY_MICROS, () -> rereadRevisions(job, callback));
                         return;
                     }
                     Map<String, Long> revisions = new HashMap<>();
                     admissions.entries().forEach(entry -> revisions.put(entry.key(), entry.modRevision()));
                     shards.entries().forEach(entry -> revisions.put(entry.key(), entry.modRevision()));
                     job.records().replaceAll(revisions);
-                    then.run();
+                    callback.run();
                 }));
     }
 }
--- a/src/main/java/org/weldcourse/persistence/JobRecordRestorer.java
+++ b/src/main/java/org/weldcourse/persistence/JobRecordRestorer.java
@@ -8,11 +8,11 @@
 import org.weldcourse.settings.Settings;
 import org.weldcourse.store.Store;
 
-/** Reads a job's admission records and shards of finished tasks back, but for the bookings that they hold. */
+/** Restores a job's finished tasks, last attempt and revisions from its records; bookings are restored elsewhere. */
 public final class JobRecordRestorer {
     private final FinishedTaskLayout layout;
 
-    /** A restorer of records that were written under these limits, or by versions that knew only the plain ones. */
+    /** Creates a restorer for records written under these limits, or by versions that know only the plain limits. */
     public JobRecordRestorer(Settings.StoreLimits limits) {
         this(new FinishedTaskLayout(limits));
     }
@@ -22,9 +22,9 @@
     }
 
     /**
-     * Reads a record under {@code slices/} or {@code done/} back into the job, but for what it says is admitted.
+     * Restores the content of a record under {@code slices/} or {@code done/}, except its admitted tasks.
      *
-     * @throws org.weldcourse.jobs.UnreadableRecordException if its finished tasks can't be read
+     * @throws org.weldcourse.jobs.UnreadableRecordException if the record's finished tasks can't be read
      */
     public void restore(Job job, Store.Entry entry) {
         job.records().restore(entry.key(), entry.modRevision(), AdmissionRecordCodec.writeNumber(entry.value()));
@@ -35,15 +35,16 @@
     }
 
     /**
-     * Admissions of a job whose finished tasks are kept in shards are written without them. So what a version with larger
-     * records left in an admission counts as not persisted, until it stands in a shard.
+     * Restores finished tasks. If the job keeps its finished tasks in shards, its admission records are written without
+     * them: finished tasks that a version with larger records left in an admission record count as not persisted until
+     * they are written to a shard.
      */
-    private static void restoreDone(Job job, BitSet bits, int firstTask, boolean staysOnRecord) {
+    private static void restoreDone(Job job, BitSet bits, int firstTask, boolean keptOnRewrite) {
         for (int bit = bits.nextSetBit(0);
                 bit >= 0 && firstTask + bit < job.spec().tasks();
                 bit = bits.nextSetBit(bit + 1)) {
             int task = firstTask + bit;
-            job.restoreDone(task, staysOnRecord);
+            job.restoreDone(task, keptOnRewrite);
         }
     }
 }
--- a/src/main/java/org/weldcourse/persistence/OpenJobsWatch.java
+++ b/src/main/java/org/weldcourse/persistence/OpenJobsWatch.java
@@ -16,28 +16,31 @@
 import org.weldcourse.store.Store.Outcome;
 import org.weldcourse.workers.WorkerLeaseRenewalBound;
 
-/** The records of open jobs: all of them at first and when the watch fell too far behind, else what changes of them. */
+/** Reads the records of open jobs: all of them at first and when the watch fell too far behind, else their changes. */
 final class OpenJobsWatch {
     private static final Logger LOG = LoggerFactory.getLogger(OpenJobsWatch.class);
     static final long RETRY_MICROS = 300_000;
-    /** Each watch that comes back shows that nothing is missing up to its sending, so they are short: see WorkerLeaseRenewalBound. */
-    private static final long WATCH_MICROS = 1_000_000;
+    /**
+     * Timeout of a watch. It is short, since each response proves that all changes up to the send time of the watch are
+     * known, as {@link WorkerLeaseRenewalBound} requires.
+     */
+    private static final long WATCH_TIMEOUT_MICROS = 1_000_000;
 
     private final Store store;
     private final Clock clock;
     private final Timers timers;
     private final ClusterState cluster;
     private final QuotaEnforcement quotas;
-    private final RecordWriter recorder;
-    private final WorkerLeaseRenewalBound renewals;
+    private final RecordWriter recordWriter;
+    private final WorkerLeaseRenewalBound leaseRenewalBound;
     private final UnreadableRecords unreadable;
     private final RecordReader.Listener listener;
 
-    /** The records of open jobs were read up to this revision. */
-    private long openRevision;
+    /** The revision up to which the records of open jobs were read. */
+    private long openJobsRevision;
 
     private boolean readingChanges;
-    private boolean ended;
+    private boolean stopped;
 
     OpenJobsWatch(
             Store store,
@@ -45,8 +48,8 @@
             Timers timers,
             ClusterState cluster,
             QuotaEnforcement quotas,
-            RecordWriter recorder,
-            WorkerLeaseRenewalBound renewals,
+            RecordWriter recordWriter,
+            WorkerLeaseRenewalBound leaseRenewalBound,
             UnreadableRecords unreadable,
             RecordReader.Listener listener) {
         this.store = store;
@@ -54,90 +57,90 @@
         this.timers = timers;
         this.cluster = cluster;
         this.quotas = quotas;
-        this.recorder = recorder;
-        this.renewals = renewals;
+        this.recordWriter = recordWriter;
+        this.leaseRenewalBound = leaseRenewalBound;
         this.unreadable = unreadable;
         this.listener = listener;
     }
 
-    /** Nothing that is still under way counts any more. */
-    void end() {
-        ended = true;
+    /** Stops the watch: responses to requests in flight are ignored. */
+    void stop() {
+        stopped = true;
     }
 
-    /** Reads all open jobs, and watches them from then on; {@code then} runs once they are read. */
-    void load(Runnable then) {
-        if (ended) {
+    /** Reads all open jobs and then watches them; {@code callback} runs once they are read. */
+    void load(Runnable callback) {
+        if (stopped) {
             return;
         }
         long sentMicros = clock.nowMicros();
         store.list(StoreKeys.OPEN_JOBS, open -> {
-            if (ended) {
+            if (stopped) {
                 return;
             }
             if (open.outcome() != Outcome.OK) {
-                timers.after(RETRY_MICROS, () -> load(then));
+                timers.after(RETRY_MICROS, () -> load(callback));
                 return;
             }
-            openJobsRead(open, sentMicros);
+            applyOpenJobs(open, sentMicros);
             watch(open.revision());
-            then.run();
+            callback.run();
         });
     }
 
-    private void openJobsRead(Store.Listing open, long sentMicros) {
+    private void applyOpenJobs(Store.Listing open, long sentMicros) {
         for (Store.Entry entry : open.entries()) {
-            jobRead(entry.key(), entry.value(), entry.modRevision());
+            applyJobRecord(entry.key(), entry.value(), entry.modRevision());
         }
-        renewals.recordOpenJobsRead(sentMicros);
+        leaseRenewalBound.recordOpenJobsRead(sentMicros);
         readUpTo(open.revision());
     }
 
     private void readUpTo(long revision) {
-        openRevision = Math.max(openRevision, revision);
+        openJobsRevision = Math.max(openJobsRevision, revision);
         quotas.openJobsReadUpTo(revision);
     }
 
-    /** Reads what changed of the open jobs at once, beside the watch that is under way. */
+    /** Reads the changes of open jobs immediately, in addition to the watch in flight. */
     void readChanges() {
-        if (ended || readingChanges || openRevision == 0) {
+        if (stopped || readingChanges || openJobsRevision == 0) {
             return;
         }
         readingChanges = true;
         long sentMicros = clock.nowMicros();
-        store.changes(StoreKeys.OPEN_JOBS, openRevision, events -> {
+        store.changes(StoreKeys.OPEN_JOBS, openJobsRevision, events -> {
             readingChanges = false;
-            if (!ended && events.outcome() == Outcome.OK) {
-                changesRead(events, sentMicros);
+            if (!stopped && events.outcome() == Outcome.OK) {
+                applyChanges(events, sentMicros);
                 listener.jobsChanged();
             }
         });
     }
 
-    private void changesRead(Store.Events events, long sentMicros) {
+    private void applyChanges(Store.Events events, long sentMicros) {
         for (Store.Event event : events.events()) {
             if (event.value() != null) {
-                jobRead(event.key(), event.value(), event.modRevision());
+                applyJobRecord(event.key(), event.value(), event.modRevision());
             }
         }
-        renewals.recordOpenJobsRead(sentMicros);
+        leaseRenewalBound.recordOpenJobsRead(sentMicros);
         readUpTo(events.revision());
     }
 
     private void watch(long revision) {
         long sentMicros = clock.nowMicros();
-        store.watch(StoreKeys.OPEN_JOBS, revision, WATCH_MICROS, events -> {
-            if (ended) {
+        store.watch(StoreKeys.OPEN_JOBS, revision, WATCH_TIMEOUT_MICROS, events -> {
+            if (stopped) {
                 return;
             }
             if (events.outcome() == Outcome.OK) {
-                changesRead(events, sentMicros);
+                applyChanges(events, sentMicros);
                 if (!events.events().isEmpty()) {
                     listener.jobsChanged();
                 }
                 watch(Math.max(revision, events.revision()));
             } else if (events.outcome() == Outcome.REFUSED) {
-                // It fell too far behind.
+                // The watch fell too far behind.
                 load(listener::jobsChanged);
             } else {
                 timers.after(events.outcome() == Outcome.UNKNOWN ? 0 : RETRY_MICROS, () -> watch(revision));
@@ -146,8 +149,8 @@
     }
 
     /**
-     * A write was refused because the job's record is not what it was. The watch may lag, or may have told of a job
-     * that is over by now: without reading it again the same write would be tried for ever.
+     * Reads a job's record again after a write failed its condition on the record. The watch may lag, or the job may have
+     * ended in the meantime: without this read the same write would be retried forever.
      */
     void rereadJob(Job job) {
         if (job.isStale() || job.isClosed()) {
@@ -158,20 +161,20 @@
     }
 
     private void readJob(Job job) {
-        if (ended) {
+        if (stopped) {
             return;
         }
         String key = StoreKeys.openJob(job.spec().id());
         store.get(key, read -> {
             if (read.outcome() == Outcome.OK) {
-                jobRead(key, read.entry().value(), read.entry().modRevision());
-                recorder.rereadRevisions(job, () -> {
+                applyJobRecord(key, read.entry().value(), read.entry().modRevision());
+                recordWriter.rereadRevisions(job, () -> {
                     job.markFresh();
                     listener.jobsChanged();
                 });
                 return;
             } else if (read.outcome() == Outcome.REFUSED) {
-                LOG.info("{}: over already", job.spec().id());
+                LOG.info("{}: has already ended", job.spec().id());
                 job.markClosed();
                 cluster.evict(job, 0);
             } else {
@@ -183,11 +186,11 @@
         });
     }
 
-    private void jobRead(String key, Map<String, Object> value, long version) {
+    private void applyJobRecord(String key, Map<String, Object> value, long version) {
         String id = StoreKeys.jobId(key);
         Job job = cluster.jobs.get(id);
         if (job == null && cluster.outstandingJobs.containsKey(id)) {
-            // The watch lags behind the job's end.
+            // The watch lags behind the end of the job.
             return;
         }
         if (job == null) {
@@ -196,7 +199,7 @@
                 long ageMicros = Math.max(0, clock.wallMicros() - JobRecordCodec.acceptedWallMicros(value));
                 job = new Job(spec, version, clock.nowMicros() - ageMicros);
             } catch (InvalidJobException invalid) {
-                unreadable.openJob(id, key, value, invalid);
+                unreadable.addOpenJob(id, key, value, invalid);
                 return;
             }
             cluster.jobs.put(id, job);
--- a/src/main/java/org/weldcourse/persistence/OutstandingRecord.java
+++ b/src/main/java/org/weldcourse/persistence/OutstandingRecord.java
@@ -13,30 +13,30 @@
 import org.weldcourse.jobs.StoreKeys;
 
 /**
- * The record of tasks that may still be on machines while their job is over: the job's description and where its tasks were
- * admitted. It is written with the end of the job, and deleted once there is evidence that the tasks are gone, so that every
- * leader in between counts them. Versions that don't know of it leave it alone.
+ * The record of an ended job's tasks that may still be on machines: the job's specification and its admitted tasks. It is
+ * written at the end of the job and deleted once there is evidence that the tasks are gone, so that every leader in between
+ * counts them. Versions that don't know this record ignore it.
  */
 public final class OutstandingRecord {
-    private static final long NEVER_OPEN = 0;
+    private static final long NO_REVISION = 0;
 
     private OutstandingRecord() {}
 
-    /** The record of a job that ends while some of its tasks are booked, or null when it is larger than can be kept. */
-    public static Map<String, Object> encode(Job job, int mostBytes) {
+    /** Encodes the record of a job that ends with booked tasks, or returns null if it exceeds {@code maxBytes}. */
+    public static Map<String, Object> encode(Job job, int maxBytes) {
         AdmittedTasks admitted = new AdmittedTasks();
         job.bookings().forEach(booking -> admitted.add(booking.machine().name, booking.attempt(), booking.task()));
         Map<String, Object> record = JobRecordCodec.encode(job.spec(), 0, job.isCancelled());
         JobRecordCodec.clearFieldsUnneededAfterCancellation(record);
         record.putAll(AdmissionRecordCodec.encode(admitted, job.lastAttempt(), 0, null));
-        return Json.bytes(record).length <= mostBytes ? record : null;
+        return Json.bytes(record).length <= maxBytes ? record : null;
     }
 
-    /** Books again what the record says may be on machines; all of it is to stop. */
+    /** Restores an ended job from its record: books its tasks that may be on machines and requests their stop. */
     public static Job restore(ClusterState cluster, Map<String, Object> record, long nowMicros)
             throws InvalidJobException {
         JobSpec spec = JobRecordCodec.spec(record);
-        Job job = new Job(spec, NEVER_OPEN, nowMicros);
+        Job job = new Job(spec, NO_REVISION, nowMicros);
         job.markClosed();
         job.markOutstandingPersisted();
         job.markAllDone();
--- a/src/main/java/org/weldcourse/persistence/RecordReader.java
+++ b/src/main/java/org/weldcourse/persistence/RecordReader.java
@@ -9,58 +9,66 @@
 import org.weldcourse.store.Store;
 import org.weldcourse.workers.WorkerLeaseRenewalBound;
 
-/** Reads a leader's records: all of them when it is elected, and what changes of open jobs from then on. */
+/** Reads a leader's records: all of them after its election, and then the changes of open jobs. */
 public final class RecordReader {
     private final OpenJobsWatch openJobs;
     private final FailoverRecovery recovery;
 
-    /** What the term is told. */
+    /** Receives the results of reads. */
     public interface Listener {
-        /** All records were read, so many besides those of open jobs, as of this revision or a later one. */
+        /**
+         * All records were read.
+         *
+         * @param records the number of records without those of open jobs
+         * @param revision the records are at least as new as this revision of the store
+         */
         void recordsLoaded(int records, long revision);
 
-        /** An open job became known. */
+        /** A new open job was read. */
         void jobSeen(JobSpec job);
 
-        /** Something was read that the next cycle may act on. */
+        /** Open jobs changed in a way that the next admission cycle may act on. */
         void jobsChanged();
     }
 
-    /** A reader for one leader term; it reads nothing before {@link #load}. */
+    /** Creates a reader for one leader term; it reads nothing before {@link #load}. */
     public RecordReader(
             Store store,
             Clock clock,
             Timers timers,
             ClusterState cluster,
             QuotaEnforcement quotas,
-            RecordWriter recorder,
-            WorkerLeaseRenewalBound renewals,
+            RecordWriter recordWriter,
+            WorkerLeaseRenewalBound leaseRenewalBound,
             Listener listener) {
         UnreadableRecords unreadable = new UnreadableRecords(cluster);
-        this.openJobs =
-                new OpenJobsWatch(store, clock, timers, cluster, quotas, recorder, renewals, unreadable, listener);
-        this.recovery = new FailoverRecovery(store, clock, timers, cluster, recorder, unreadable, listener);
+        this.openJobs = new OpenJobsWatch(
+                store, clock, timers, cluster, quotas, recordWriter, leaseRenewalBound, unreadable, listener);
+        this.recovery = new FailoverRecovery(store, clock, timers, cluster, recordWriter, unreadable, listener);
     }
 
-    /** Nothing that is still under way counts any more. */
+    /** Stops reading: responses to requests in flight are ignored. */
     public void stop() {
-        openJobs.end();
-        recovery.end();
+        openJobs.stop();
+        recovery.stop();
     }
 
-    /** The open jobs first: what they show to be cancelled is all that answers to workers need for a start. */
+    /**
+     * Reads the open jobs and then the other records. During recovery, responses to heartbeats need only the cancelled jobs,
+     * so the open jobs come first.
+     */
     public void load() {
         openJobs.load(recovery::load);
     }
 
-    /** Reads what changed of the open jobs at once, beside the watch that is under way. */
+    /** Reads the changes of open jobs immediately, in addition to the watch in flight. */
     public void readChanges() {
         openJobs.readChanges();
     }
 
     /**
-     * A write was refused because the job's record is not what it was. The watch may lag, or may have told of a job
-     * that is over by now: without reading it again the same write would be tried for ever.
+     * Reads a job's record again after a write failed its condition on the record. The watch may lag, or the job may have
+     * ended in the meantime: without this read the same write would be retried forever.
      */
     public void rereadJob(Job job) {
         openJobs.rereadJob(job);
--- a/src/main/java/org/weldcourse/persistence/RecordWriter.java
+++ b/src/main/java/org/weldcourse/persistence/RecordWriter.java
@@ -11,40 +11,44 @@
 import org.weldcourse.store.Transaction;
 
 /**
- * Puts a leader's decisions on record: admissions, finished tasks and the ends of jobs. Every commit is fenced by the token
- * of the leader's term, and of one job's records one commit is under way at a time.
+ * Persists a leader's decisions: admissions, finished tasks and the ends of jobs. Every commit is fenced by the token of
+ * the leader's term, and at most one commit per job is in flight.
  */
 public final class RecordWriter {
-    private static final long SAVE_DONE_MICROS = 8_000_000;
+    private static final long FINISHED_TASKS_SAVE_INTERVAL_MICROS = 8_000_000;
 
     private final Clock clock;
     private final Listener listener;
     private final FencedCommits fenced;
-    private final JobCloser closer;
+    private final JobCloser jobCloser;
     private final FinishedTaskLayout layout;
     private final JobRecordCommits jobRecords;
     private final AdmissionRecords admissions;
     private final FinishedTaskShards shards;
 
-    /** What the term is told. */
+    /** Receives the results of writes. */
     public interface Listener {
-        /** Something is on record that workers or the next cycle may act on. */
+        /** A write succeeded that workers or the next admission cycle may act on. */
         void recordWritten(Job job);
 
-        /** The job's record is not of the revision that was thought: it has to be read again. */
+        /** The job's record has another revision than expected: it must be read again. */
         void jobRecordChanged(Job job);
 
-        /** The fencing token is not the term's any more: another leader was elected. */
+        /** The fencing token has changed: another leader was elected. */
         void fencingTokenSuperseded();
 
-        /** Adds what has to hold, besides job and fencing token, when the job is admitted. */
+        /** Adds conditions to the admission of a job, besides those on the job and the fencing token. */
         default void addAdmissionConditions(Transaction admission, Job job) {}
 
-        /** A write of the job's records was refused, since these keys are not of the versions that were thought. */
+        /** A write of the job's records was refused because these keys have other revisions than expected. */
         default void conditionsFailed(Job job, List<Object> keys) {}
     }
 
-    /** A writer for the term whose fencing token is of this version. */
+    /**
+     * Creates a writer for one leader term.
+     *
+     * @param fencingTokenVersion the store's revision of the key that holds the term's fencing token
+     */
     public RecordWriter(
             Store store,
             Clock clock,
@@ -58,92 +62,93 @@
         this.fenced =
                 new FencedCommits(store, clock, timers, limits, fencingTokenVersion, listener::fencingTokenSuperseded);
         ConfirmedCommits confirmed = new ConfirmedCommits(store, timers, fenced);
-        this.closer = new JobCloser(timers, fenced, confirmed, limits, listener);
+        this.jobCloser = new JobCloser(timers, fenced, confirmed, limits, listener);
         this.jobRecords = new JobRecordCommits(store, clock, timers, fenced, confirmed, listener);
         this.admissions = new AdmissionRecords(fenced, jobRecords, layout, limits.safeTxnOps());
         this.shards = new FinishedTaskShards(fenced, jobRecords, layout, limits.safeTxnOps());
     }
 
-    /** How many tasks one admission may hold so that its record fits one transaction however scattered they are. */
+    /** The most tasks per admission for which its records fit one transaction, however the tasks are distributed. */
     public static int maxTasksPerAdmission(Settings.StoreLimits limits) {
         int bytes = Math.min(48 * 1024, limits.safeValueBytes() * Math.max(1, limits.safeTxnOps() - 2) / 2);
         return Math.max(1, Math.min(2_000, bytes / 16));
     }
 
-    /** Ends with the term: nothing more is written, and no answer counts any more. */
+    /** Stops all writes at the end of the term, and ignores responses to those in flight. */
     public void stop() {
-        fenced.end();
+        fenced.stop();
     }
 
-    /** Writes something that can wait; false when the budget of changes has no room for it now. */
+    /** Sends a write of low priority; returns false, and sends nothing, while the write budget is low. */
     public boolean writeInBackground(FencedCommits.TransactionContent content, RetryingCommit.Callback done) {
         return fenced.writeInBackground(content, done);
     }
 
-    /** Moves a job that is over to its final record. */
+    /** Replaces the open record of an ended job by its final record. */
     public void close(Job job) {
-        closer.close(job);
+        jobCloser.close(job);
     }
 
-    /** Deletes records that no open job needs any more. */
+    /** Deletes records that are no longer needed, when the write budget allows it. */
     public void deleteInBackground(List<String> keys) {
-        closer.deleteInBackground(keys);
+        jobCloser.deleteInBackground(keys);
     }
 
-    /** How many admissions the budget of changes has room for now. */
+    /** The number of admissions that the write budget allows now. */
     public int maxAdmissions() {
-        return fenced.available();
+        return fenced.availableOperations();
     }
 
-    /** Told whether an admission, or a save of finished tasks, is on record. */
+    /** Receives the result of a write of an admission or of finished tasks. */
     public interface WriteCallback {
-        /** Called once, when it is certain what became of the write. */
-        void completed(boolean onRecord);
+        /** Called once, when the result of the write is definite. */
+        void completed(boolean persisted);
     }
 
-    /** Records an admission on the revision of the job that it was decided on. */
-    public void admit(Job job, int attempt, List<Booking> booked, WriteCallback then) {
+    /** Writes an admission, conditional on the job's revision that the decision was based on. */
+    public void admit(Job job, int attempt, List<Booking> booked, WriteCallback callback) {
         if (job.records().isWriteInFlight()) {
-            // What the write under way holds does not count as standing yet: this one would take it out of the record.
-            then.completed(false);
+            // The bookings of the write in flight have no record key yet: this write would drop them from the record.
+            callback.completed(false);
             return;
         }
         Transaction txn = fenced.fenced();
         listener.addAdmissionConditions(txn, job);
-        admissions.admit(job, attempt, booked, txn, then);
+        admissions.admit(job, attempt, booked, txn, callback);
     }
 
     /**
-     * Records the finished tasks of a job that goes on, now and then: its admissions carry them along anyway, and a
-     * successor hears of them from the workers too, as long as those were not told to forget them.
+     * Writes the finished tasks of an open job, at intervals. The interval may be long: the job's admissions contain its
+     * finished tasks too, and workers report them to a successor as long as they were not told to forget them.
      */
     public void saveFinishedTasks(Job job) {
-        if (job.records().isWriteInFlight() || !job.hasUnpersistedDone() || !fenced.mayWriteInBackground()) {
+        if (job.records().isWriteInFlight() || !job.hasUnpersistedDone() || !fenced.tryReserveBackgroundWrite()) {
             return;
         }
-        // Until a job's finished tasks have moved to shards it may not be admitted anew, so those do not wait.
-        if (!job.mustMoveDoneToShards() && clock.nowMicros() - job.records().lastWriteMicros() < SAVE_DONE_MICROS) {
+        // No interval if finished tasks must first move to shards: until then the job can't be admitted again.
+        if (!job.mustMoveDoneToShards()
+                && clock.nowMicros() - job.records().lastWriteMicros() < FINISHED_TASKS_SAVE_INTERVAL_MICROS) {
             return;
         }
-        WriteCallback then = onRecord -> {
-            if (onRecord) {
+        WriteCallback callback = persisted -> {
+            if (persisted) {
                 listener.recordWritten(job);
             }
         };
         if (layout.isInAdmissions(job)) {
-            admissions.saveDone(job, then);
+            admissions.saveFinishedTasks(job, callback);
         } else {
-            shards.save(job, then);
+            shards.save(job, callback);
         }
     }
 
-    /** A restorer of the records that this writer writes. */
+    /** Creates a restorer for the records that this writer writes. */
     JobRecordRestorer restorer() {
         return new JobRecordRestorer(layout);
     }
 
-    /** Reads the revisions of a job's records anew, after a write that they refused. */
-    void rereadRevisions(Job job, Runnable then) {
-        jobRecords.rereadRevisions(job, then);
+    /** Reads the revisions of a job's records again, after a write that failed its conditions on them. */
+    void rereadRevisions(Job job, Runnable callback) {
+        jobRecords.rereadRevisions(job, callback);
     }
 }
--- a/src/main/java/org/weldcourse/persistence/UnreadableRecords.java
+++ b/src/main/java/org/weldcourse/persistence/UnreadableRecords.java
@@ -10,62 +10,65 @@
 import org.weldcourse.cluster.Job;
 import org.weldcourse.jobs.JobRecordCodec;
 
-/** Records that can't be read, or are of a version to come: each is named once, and what it may have admitted counts as taken. */
+/**
+ * Records that can't be decoded, or that a newer version wrote. Each is logged once, and the tasks that it may have
+ * admitted count against the quota.
+ */
 final class UnreadableRecords {
     private static final Logger LOG = LoggerFactory.getLogger(UnreadableRecords.class);
 
     private final ClusterState cluster;
-    /** Open jobs whose own record can't be read, with their team where that much is known, or null. */
+    /** Open jobs whose own record can't be read, with their team or null if it is unknown. */
     private final Map<String, String> teamByJob = new HashMap<>();
 
-    private final Set<String> named = new HashSet<>();
-    private final Set<Job> jobs = new HashSet<>();
+    private final Set<String> loggedKeys = new HashSet<>();
+    private final Set<Job> jobsWithUnreadableAdmissions = new HashSet<>();
 
     UnreadableRecords(ClusterState cluster) {
         this.cluster = cluster;
     }
 
-    /** The record of an open job can't be read; as long as nothing of it was admitted, nothing has to be counted. */
-    void openJob(String id, String key, Map<String, Object> value, Exception why) {
+    /** Adds an open job whose own record can't be read. It counts only if some of its tasks were admitted. */
+    void addOpenJob(String id, String key, Map<String, Object> value, Exception exception) {
         teamByJob.put(id, JobRecordCodec.team(value));
-        name(key, why);
+        logOnce(key, exception);
     }
 
     /** Whether the record of this open job can't be read. */
-    boolean isOpenJob(String id) {
+    boolean containsOpenJob(String id) {
         return teamByJob.containsKey(id);
     }
 
-    /** Something of an open job was admitted whose own record can't be read. */
-    void admissionOfOpenJob(String id) {
+    /** Counts an admission of an open job whose own record can't be read. */
+    void countAdmissionOfOpenJob(String id) {
         cluster.quotaUsage.blockForUnreadableJob(teamByJob.get(id));
     }
 
-    /** What was admitted of a job can't be read: nobody knows what runs where, and nothing is decided about the job. */
-    void admission(Job job, String key, Exception why) {
+    /** Adds an unreadable admission of a job. The job is marked as stale: where its tasks run is unknown. */
+    void addAdmission(Job job, String key, Exception exception) {
         job.markStale();
-        jobs.add(job);
-        name(key, why);
+        jobsWithUnreadableAdmissions.add(job);
+        logOnce(key, exception);
     }
 
-    /** What may still be on machines of a job that is over can't be read. */
-    void outstanding(String key, Map<String, Object> value, Exception why) {
+    /** Counts an unreadable record of an ended job's tasks that may still be on machines. */
+    void addOutstanding(String key, Map<String, Object> value, Exception exception) {
         cluster.quotaUsage.blockForUnreadableJob(JobRecordCodec.team(value));
-        name(key, why);
+        logOnce(key, exception);
     }
 
-    /** All records were read: of the jobs whose admissions can't be, every task counts that is not booked. */
-    void allRead() {
-        for (Job job : jobs) {
+    /** Called after all records are read: counts all unbooked tasks of jobs with unreadable admissions. */
+    void countUnbookedTasks() {
+        for (Job job : jobsWithUnreadableAdmissions) {
             cluster.quotaUsage.addUnreadable(
                     job.spec(), job.spec().tasks() - job.bookings().size());
         }
-        jobs.clear();
+        jobsWithUnreadableAdmissions.clear();
     }
 
-    private void name(String key, Exception why) {
-        if (named.add(key)) {
-            LOG.error("{}: can't be read, and counts as room taken: {}", key, why.toString());
+    private void logOnce(String key, Exception exception) {
+        if (loggedKeys.add(key)) {
+            LOG.error("{}: unreadable record, its tasks count against the quota: {}", key, exception.toString());
         }
     }
 }
--- a/src/test/java/org/weldcourse/election/LeaderElectionTest.java
+++ b/src/test/java/org/weldcourse/election/LeaderElectionTest.java
@@ -12,13 +12,16 @@
 import org.weldcourse.simulation.FakeClock;
 import org.weldcourse.store.Store;
 
-/** Lease renewals of a leader that reads the answers late, as one does whose processor is taken by its first heartbeats. */
+/**
+ * Guards against a leader losing its lease because it reads the responses to renewals late, as happens when the first
+ * heartbeats after a failover take up its processor: a late response must not delay the next renewal.
+ */
 class LeaderElectionTest {
     private static final long LEASE_MICROS = 4_000_000;
 
     private final FakeClock time = new FakeClock();
     private int renewals;
-    private long renewalTakesMicros = 1_000;
+    private long renewalDelayMicros = 1_000;
     private LeaderElection election;
 
     @BeforeEach
@@ -45,12 +48,12 @@
         Caller.Answer answer = call.path().startsWith("/store/")
                 ? new Caller.Answer(404, Map.of())
                 : new Caller.Answer(200, Json.of("permit", 1L, "ledger", 1L, "pairs", List.of()));
-        time.after(renewal ? renewalTakesMicros : 1_000, () -> done.accept(answer));
+        time.after(renewal ? renewalDelayMicros : 1_000, () -> done.accept(answer));
     }
 
-    /** Renewals in so many seconds, once answers have come to be read so late. */
-    private int renewalsIn(double seconds, long takesMicros) {
-        renewalTakesMicros = takesMicros;
+    /** Counts the renewals in a period in which each response is read after {@code responseDelayMicros}. */
+    private int renewalsIn(double seconds, long responseDelayMicros) {
+        renewalDelayMicros = responseDelayMicros;
         time.passSeconds(2);
         renewals = 0;
         time.passSeconds(seconds);
@@ -58,14 +61,14 @@
     }
 
     @Test
-    void renewalsComeAsOftenWhenTheirAnswersAreReadLate() {
+    void lateResponsesDoNotMakeRenewalsLessFrequent() {
         int seen = renewalsIn(20, 900_000);
         assertTrue(seen >= 19, seen + " renewals");
         assertTrue(election.isLeaseValid());
     }
 
     @Test
-    void anAnswerThatIsLaterThanThatIsFollowedAtOnce() {
+    void aResponseLaterThanTheRenewalIntervalIsFollowedByAnImmediateRenewal() {
         int seen = renewalsIn(24, 1_200_000);
         assertTrue(seen >= 19, seen + " renewals");
         assertTrue(election.isLeaseValid());
--- a/src/test/java/org/weldcourse/leader/StandbyWarmUpTest.java
+++ b/src/test/java/org/weldcourse/leader/StandbyWarmUpTest.java
@@ -12,7 +12,7 @@
 import org.weldcourse.simulation.FakeClock;
 import org.weldcourse.simulation.SimulatedCluster;
 
-/** Warm-up of a standby: it has to do what a leader does, only when there is time, and come to an end. */
+/** Tests that the warm-up of a standby runs the leader's work, only while the node has spare time, and then ends. */
 class StandbyWarmUpTest {
     private final FakeClock time = new FakeClock();
     private boolean hasSpareTime = true;
@@ -25,8 +25,9 @@
     }
 
     @Test
-    void jobsAreAdmittedStartedAndDoneWithinARound() {
-        // One step each 20 ms; a round is set-up, three passes of sixteen heartbeats and a cycle, and reading back.
+    void jobsAreAdmittedStartedAndFinishedInOneRound() {
+        // One step per 20 ms: creating the cluster, three passes of 16 heartbeats and a cycle, and restoring the
+        // records.
         time.pass(20_000 * 51);
         assertTrue(warmUp.cluster().state().jobs.values().stream()
                 .anyMatch(job -> job.spec().isGang() && job.allDone()));
@@ -36,7 +37,7 @@
     }
 
     @Test
-    void itWaitsWhileThereIsNoTimeForItAndEnds() {
+    void warmUpWaitsForSpareTimeAndEnds() {
         hasSpareTime = false;
         time.passSeconds(60);
         assertNull(warmUp.cluster());
@@ -49,7 +50,7 @@
     }
 
     @Test
-    void heartbeatsTakeTheWayOfAConnectionWhereThereIsOne() {
+    void heartbeatsAreSentThroughAConnectionOnceItIsSet() {
         AtomicInteger received = new AtomicInteger();
         warmUp.useConnection(request -> received.incrementAndGet());
         time.pass(20_000 * 17);
