--- a/src/main/java/org/weldcourse/election/LeaderElection.java
+++ b/src/main/java/org/weldcourse/election/LeaderElection.java
@@ -41,7 +41,7 @@
 
     private long ownLeaseId;
     private long fencingToken;
-    private long fencingTokenVersion;
+    private long fencingTokenRevision;
     private long leaseExpiryMicros;
     private boolean requestInFlight;
     /** Counts role changes, so that responses to requests from an earlier role are ignored. */
@@ -59,10 +59,10 @@
          * This node became the leader.
          *
          * @param fencingToken higher than the token of any earlier leader
-         * @param fencingTokenVersion the store's revision of the key {@code epoch}; the leader's commits are conditional
+         * @param fencingTokenRevision the store's revision of the key {@code epoch}; the leader's commits are conditional
          *     on it
          */
-        void elected(long fencingToken, long fencingTokenVersion);
+        void elected(long fencingToken, long fencingTokenRevision);
 
         /** This node is no longer the leader. */
         void deposed();
@@ -118,7 +118,7 @@
         return fencingToken;
     }
 
-    /** Handles a peer's report that it is the leader: with a higher token, it has replaced this node, which steps down. */
+    /** Handles a peer's report that it is the leader. A higher token means that this node was deposed: it steps down. */
     public void peerReportsLeadership(long peerFencingToken) {
         if (role == Role.LEADER && peerFencingToken > fencingToken) {
             stepDown("a peer is leader under fencing token " + peerFencingToken);
@@ -239,23 +239,23 @@
             }
             long lastFencingToken =
                     read.entry() == null ? 0 : Json.integer(read.entry().value(), "epoch", 0);
-            long lastVersion = read.entry() == null ? 0 : read.entry().modRevision();
+            long lastRevision = read.entry() == null ? 0 : read.entry().modRevision();
             long sentMicros = clock.nowMicros();
             store.grantLease(leaseMicros, grant -> {
                 if (grant.outcome() != Outcome.OK) {
                     scheduleStep(RETRY_MICROS);
                     return;
                 }
-                claimLeadership(lastFencingToken + 1, lastVersion, grant.leaseId(), sentMicros);
+                claimLeadership(lastFencingToken + 1, lastRevision, grant.leaseId(), sentMicros);
             });
         });
     }
 
     /** Writes the key {@code leader} with a compare-and-swap if it is absent and the fencing token is unchanged. */
-    private void claimLeadership(long newFencingToken, long lastVersion, long newLeaseId, long sentMicros) {
+    private void claimLeadership(long newFencingToken, long lastRevision, long newLeaseId, long sentMicros) {
         Transaction txn = new Transaction()
                 .ifModRevision(LEADER_KEY, 0)
-                .ifModRevision(FENCING_TOKEN_KEY, lastVersion)
+                .ifModRevision(FENCING_TOKEN_KEY, lastRevision)
                 .put(LEADER_KEY, Json.of("name", nodeName, "token", newFencingToken), newLeaseId)
                 .put(FENCING_TOKEN_KEY, Json.of("epoch", newFencingToken));
         store.commit(txn, commit -> {
@@ -270,10 +270,10 @@
             leaderName = nodeName;
             ownLeaseId = newLeaseId;
             fencingToken = newFencingToken;
-            fencingTokenVersion = commit.revision();
+            fencingTokenRevision = commit.revision();
             leaseExpiryMicros = sentMicros + subtractClockDrift(leaseMicros);
             LOG.info("elected leader, fencing token {}", fencingToken);
-            listener.elected(fencingToken, fencingTokenVersion);
+            listener.elected(fencingToken, fencingTokenRevision);
             scheduleStep(leaseMicros / 4);
         });
     }
--- a/src/main/java/org/weldcourse/leader/AdmissionCycle.java
+++ b/src/main/java/org/weldcourse/leader/AdmissionCycle.java
@@ -122,7 +122,7 @@
             admitPending(nowMicros);
         }
         if (!autoscaler.isRunning()) {
-            // Only after the first cycle: without its demand, a costly step of a new leader would find nothing to do.
+            // Only after a cycle has determined the demand: an earlier step would be costly and find nothing to do.
             autoscaler.start();
         }
         directCommands.send(lateMicros() >= OVERLOAD_DELAY_MICROS);
--- a/src/main/java/org/weldcourse/leader/LeaderStatusLine.java
+++ b/src/main/java/org/weldcourse/leader/LeaderStatusLine.java
@@ -12,7 +12,7 @@
     private LeaderStatusLine() {}
 
     /**
-     * Formats a summary for operators: open jobs, pending tasks and their reason, machines and costs.
+     * Formats a summary for operators: open jobs, pending tasks and what they wait for, machines and costs.
      *
      * @param waitingForQuota pending tasks that exceed their team's quota limit
      * @param heartbeatTimeoutMicros the time without a heartbeat after which a machine that is up counts as silent
--- a/src/main/java/org/weldcourse/leader/LeaderTerm.java
+++ b/src/main/java/org/weldcourse/leader/LeaderTerm.java
@@ -41,16 +41,16 @@
     /**
      * Creates the term of the leader that was elected under this fencing token.
      *
-     * @param fencingTokenVersion the store's revision of the key that holds the token; every commit is conditional on it
+     * @param fencingTokenRevision the store's revision of the key that holds the token; every commit is conditional on it
      */
-    public LeaderTerm(LeaderTermDependencies dependencies, long fencingToken, long fencingTokenVersion) {
+    public LeaderTerm(LeaderTermDependencies dependencies, long fencingToken, long fencingTokenRevision) {
         this.dependencies = dependencies;
         this.fencingToken = fencingToken;
         this.recovery = new RecoveryProgress(fencingToken, cluster, dependencies.clock());
-        this.recordWriter = newRecordWriter(fencingTokenVersion);
+        this.recordWriter = newRecordWriter(fencingTokenRevision);
         this.quotas = dependencies
                 .recordedQuotas()
-                .map(recorded -> recordedQuotas(recorded, fencingTokenVersion))
+                .map(recorded -> recordedQuotas(recorded, fencingTokenRevision))
                 .orElseGet(() -> new SettingsQuotaEnforcement(cluster, dependencies.settings()));
         WorkerLeaseRenewalBound leaseRenewalBound =
                 new WorkerLeaseRenewalBound(dependencies.settings().workers());
@@ -86,13 +86,13 @@
                 cycle::wakeForEvent);
     }
 
-    private RecordWriter newRecordWriter(long fencingTokenVersion) {
+    private RecordWriter newRecordWriter(long fencingTokenRevision) {
         return new RecordWriter(
                 dependencies.store(),
                 dependencies.clock(),
                 dependencies.timers(),
                 dependencies.settings().storeLimits(),
-                fencingTokenVersion,
+                fencingTokenRevision,
                 new RecordWriterListener());
     }
 
@@ -110,7 +110,7 @@
     }
 
     private QuotaEnforcement recordedQuotas(
-            LeaderTermDependencies.RecordedTeamQuotas recorded, long fencingTokenVersion) {
+            LeaderTermDependencies.RecordedTeamQuotas recorded, long fencingTokenRevision) {
         return new LedgerQuotaEnforcement(
                 cluster,
                 dependencies.settings(),
@@ -118,7 +118,7 @@
                 recorded.planner(),
                 recordWriter,
                 dependencies.timers(),
-                fencingTokenVersion,
+                fencingTokenRevision,
                 new QuotaTermAdapter());
     }
 
--- a/src/main/java/org/weldcourse/persistence/FencedCommits.java
+++ b/src/main/java/org/weldcourse/persistence/FencedCommits.java
@@ -24,7 +24,7 @@
     private final Store store;
     private final Timers timers;
     private final double writesPerSecond;
-    private final long fencingTokenVersion;
+    private final long fencingTokenRevision;
     private final RateLimiter rateLimiter;
     private final Runnable onSuperseded;
     private boolean stopped;
@@ -45,12 +45,12 @@
             Clock clock,
             Timers timers,
             Settings.StoreLimits limits,
-            long fencingTokenVersion,
+            long fencingTokenRevision,
             Runnable onSuperseded) {
         this.store = store;
         this.timers = timers;
         this.writesPerSecond = limits.safeWritesPerSecond();
-        this.fencingTokenVersion = fencingTokenVersion;
+        this.fencingTokenRevision = fencingTokenRevision;
         this.onSuperseded = onSuperseded;
         this.rateLimiter = new RateLimiter(
                 clock, writesPerSecond * LEADER_WRITE_SHARE, writesPerSecond * LEADER_WRITE_SHARE * BURST_SECONDS);
@@ -67,7 +67,7 @@
 
     /** Creates a transaction that is applied only if no other leader was elected. */
     Transaction fenced() {
-        return new Transaction().ifModRevision(FENCING_TOKEN_KEY, fencingTokenVersion);
+        return new Transaction().ifModRevision(FENCING_TOKEN_KEY, fencingTokenRevision);
     }
 
     /** Sends a transaction, with retries, until its result is definite. */
--- a/src/main/java/org/weldcourse/persistence/OpenJobsWatch.java
+++ b/src/main/java/org/weldcourse/persistence/OpenJobsWatch.java
@@ -186,7 +186,7 @@
         });
     }
 
-    private void applyJobRecord(String key, Map<String, Object> value, long version) {
+    private void applyJobRecord(String key, Map<String, Object> value, long revision) {
         String id = StoreKeys.jobId(key);
         Job job = cluster.jobs.get(id);
         if (job == null && cluster.outstandingJobs.containsKey(id)) {
@@ -197,7 +197,7 @@
             try {
                 JobSpec spec = JobRecordCodec.spec(value);
                 long ageMicros = Math.max(0, clock.wallMicros() - JobRecordCodec.acceptedWallMicros(value));
-                job = new Job(spec, version, clock.nowMicros() - ageMicros);
+                job = new Job(spec, revision, clock.nowMicros() - ageMicros);
             } catch (InvalidJobException invalid) {
                 unreadable.addOpenJob(id, key, value, invalid);
                 return;
@@ -206,8 +206,8 @@
             listener.jobSeen(job.spec());
             quotas.jobLoaded(job, value);
         }
-        if (version >= job.records().jobRevision() && !job.isClosed()) {
-            job.records().setJobRevision(version);
+        if (revision >= job.records().jobRevision() && !job.isClosed()) {
+            job.records().setJobRevision(revision);
             if (JobRecordCodec.isCancelled(value)) {
                 job.cancel();
             }
--- a/src/main/java/org/weldcourse/persistence/RecordWriter.java
+++ b/src/main/java/org/weldcourse/persistence/RecordWriter.java
@@ -47,20 +47,20 @@
     /**
      * Creates a writer for one leader term.
      *
-     * @param fencingTokenVersion the store's revision of the key that holds the term's fencing token
+     * @param fencingTokenRevision the store's revision of the key that holds the term's fencing token
      */
     public RecordWriter(
             Store store,
             Clock clock,
             Timers timers,
             Settings.StoreLimits limits,
-            long fencingTokenVersion,
+            long fencingTokenRevision,
             Listener listener) {
         this.clock = clock;
         this.listener = listener;
         this.layout = new FinishedTaskLayout(limits);
         this.fenced =
-                new FencedCommits(store, clock, timers, limits, fencingTokenVersion, listener::fencingTokenSuperseded);
+                new FencedCommits(store, clock, timers, limits, fencingTokenRevision, listener::fencingTokenSuperseded);
         ConfirmedCommits confirmed = new ConfirmedCommits(store, timers, fenced);
         this.jobCloser = new JobCloser(timers, fenced, confirmed, limits, listener);
         this.jobRecords = new JobRecordCommits(store, clock, timers, fenced, confirmed, listener);
--- a/src/test/java/org/weldcourse/election/LeaderElectionTest.java
+++ b/src/test/java/org/weldcourse/election/LeaderElectionTest.java
@@ -29,7 +29,7 @@
         election = new LeaderElection(
                 "n", new Store(this::answer, time, "state"), time, time, LEASE_MICROS, new LeaderElection.Listener() {
                     @Override
-                    public void elected(long fencingToken, long fencingTokenVersion) {}
+                    public void elected(long fencingToken, long fencingTokenRevision) {}
 
                     @Override
                     public void deposed() {}
