--- a/src/main/java/org/weldcourse/leader/HeartbeatHandler.java
+++ b/src/main/java/org/weldcourse/leader/HeartbeatHandler.java
@@ -47,7 +47,7 @@
         this.onChange = onChange;
     }
 
-    /** Responds with 503 while this leader may not renew workers' leases, else with 200. */
+    /** Responds with 503 while this leader may not renew workers' leases, otherwise with 200. */
     void handle(Heartbeat heartbeat, Reply reply) {
         long nowMicros = dependencies.clock().nowMicros();
         if (!mayRenewWorkerLeases(nowMicros)) {
@@ -89,8 +89,8 @@
 
     /**
      * Whether workers' leases may be renewed. After its own lease has expired, a leader may keep tasks running only
-     * while the other controllers report that the store serves none of them: else a successor may be waiting for the
-     * workers' leases to expire. In any case, the time since the last read of the open jobs is bounded, so that a
+     * while the other controllers report that the store serves none of them: otherwise a successor may be waiting for
+     * the workers' leases to expire. In any case, the time since the last read of the open jobs is bounded, so that a
      * cancellation that this leader has not read still takes effect in time.
      */
     private boolean mayRenewWorkerLeases(long nowMicros) {
--- a/src/main/java/org/weldcourse/leader/LeaderTerm.java
+++ b/src/main/java/org/weldcourse/leader/LeaderTerm.java
@@ -139,8 +139,8 @@
     }
 
     /**
-     * Answers a worker's heartbeat: 503 while this leader may not renew workers' leases, else 200 with the commands for
-     * the worker, which renews the worker's lease.
+     * Answers a worker's heartbeat: 503 while this leader may not renew workers' leases, otherwise 200 with the commands
+     * for the worker. A response with 200 renews the worker's lease.
      */
     public void handleHeartbeat(Heartbeat heartbeat, Reply reply) {
         heartbeats.handle(heartbeat, reply);
--- a/src/main/java/org/weldcourse/persistence/FinishedTaskLayout.java
+++ b/src/main/java/org/weldcourse/persistence/FinishedTaskLayout.java
@@ -7,8 +7,8 @@
 import org.weldcourse.store.Store;
 
 /**
- * The storage layout of a job's finished tasks: bits in its admission records where those have room for them, else shards
- * under {@code done/}, each for a fixed number of consecutive tasks.
+ * The storage layout of a job's finished tasks: bits in its admission records where those have room for them, otherwise
+ * shards under {@code done/}, each for a fixed number of consecutive tasks.
  */
 final class FinishedTaskLayout {
     private static final int MAX_SHARD_TASKS = 16_000;
--- a/src/main/java/org/weldcourse/persistence/OpenJobsWatch.java
+++ b/src/main/java/org/weldcourse/persistence/OpenJobsWatch.java
@@ -16,7 +16,7 @@
 import org.weldcourse.store.Store.Outcome;
 import org.weldcourse.workers.WorkerLeaseRenewalBound;
 
-/** Reads the records of open jobs: all of them at first and when the watch fell too far behind, else their changes. */
+/** Reads all records of open jobs first and when the watch fell too far behind, otherwise only their changes. */
 final class OpenJobsWatch {
     private static final Logger LOG = LoggerFactory.getLogger(OpenJobsWatch.class);
     static final long RETRY_MICROS = 300_000;
