--- a/src/main/java/org/weldcourse/election/LeaderElection.java
+++ b/src/main/java/org/weldcourse/election/LeaderElection.java
@@ -11,9 +11,9 @@
 import org.weldcourse.store.Transaction;
 
 /**
- * Leader election over the store, and renewal of the leader's lease. The key {@code leader} is attached to a lease of the
- * store. The key {@code epoch} holds the fencing token, which increases with every election: workers obey the highest
- * token that they have seen, and the leader's commits are conditional on the revision of that key.
+ * Leader election over the store, and renewal of the leader's lease. The key {@code leader} is attached to a lease of
+ * the store. The key {@code epoch} holds the fencing token, which increases with every election: workers obey the
+ * highest token that they have seen, and the leader's commits are conditional on the revision of that key.
  *
  * <p>All methods run on the event loop of the {@link Timers}; times are microseconds of the {@link Clock}.
  */
@@ -59,8 +59,8 @@
          * This node became the leader.
          *
          * @param fencingToken higher than the token of any earlier leader
-         * @param fencingTokenRevision the store's revision of the key {@code epoch}; the leader's commits are conditional
-         *     on it
+         * @param fencingTokenRevision the store's revision of the key {@code epoch}; the leader's commits are
+         *     conditional on it
          */
         void elected(long fencingToken, long fencingTokenRevision);
 
@@ -118,7 +118,9 @@
         return fencingToken;
     }
 
-    /** Handles a peer's report that it is the leader. A higher token means that this node was deposed: it steps down. */
+    /**
+     * Handles a peer's report that it is the leader. A higher token means that this node was deposed: it steps down.
+     */
     public void peerReportsLeadership(long peerFencingToken) {
         if (role == Role.LEADER && peerFencingToken > fencingToken) {
             stepDown("a peer is leader under fencing token " + peerFencingToken);
@@ -126,8 +128,8 @@
     }
 
     /**
-     * Revokes the leader's lease after its process appears to have exited, so that failover doesn't wait for the lease to
-     * expire. If the process is alive, it loses leadership without harm: its commits are conditional on the fencing
+     * Revokes the leader's lease after its process appears to have exited, so that failover doesn't wait for the lease
+     * to expire. If the process is alive, it loses leadership without harm: its commits are conditional on the fencing
      * token's revision, and workers obey the highest token.
      */
     public void peerProcessEnded(String name) {
--- a/src/main/java/org/weldcourse/leader/HeartbeatHandler.java
+++ b/src/main/java/org/weldcourse/leader/HeartbeatHandler.java
@@ -11,8 +11,8 @@
 import org.weldcourse.workers.WorkerLeaseRenewalBound;
 
 /**
- * Answers the workers' heartbeats in a leader's term. Each response with status 200 renews the worker's lease and carries
- * the commands for the worker.
+ * Answers the workers' heartbeats in a leader's term. Each response with status 200 renews the worker's lease and
+ * carries the commands for the worker.
  */
 final class HeartbeatHandler {
     private final LeaderTermDependencies dependencies;
@@ -79,7 +79,8 @@
 
     /**
      * Whether tasks may be started. While the store refuses this node, and until this node has read the open jobs
-     * again, other controllers may have confirmed cancellations that it doesn't know of: it would start cancelled tasks.
+     * again, other controllers may have confirmed cancellations that it doesn't know of: it would start cancelled
+     * tasks.
      */
     private boolean mayStartTasks(long nowMicros) {
         return dependencies.election().isLeaseValid()
--- a/src/main/java/org/weldcourse/leader/JobCompletionHandler.java
+++ b/src/main/java/org/weldcourse/leader/JobCompletionHandler.java
@@ -13,7 +13,9 @@
  * tasks of it may still be on machines.
  */
 final class JobCompletionHandler {
-    /** How long the end of a gang waits for the heartbeats of its last tasks; users expect to see the end within 3 s. */
+    /**
+     * How long the end of a gang waits for the heartbeats of its last tasks; users expect to see the end within 3 s.
+     */
     private static final long FINAL_HEARTBEATS_WAIT_MICROS = 700_000;
 
     private final ClusterState cluster;
@@ -85,8 +87,8 @@
     }
 
     /**
-     * Whether to wait for the heartbeats that report the last exits of a finished gang: once they have arrived, no record
-     * of outstanding tasks needs to be written.
+     * Whether to wait for the heartbeats that report the last exits of a finished gang: once they have arrived, no
+     * record of outstanding tasks needs to be written.
      */
     private boolean mustAwaitFinalHeartbeats(Job job, long nowMicros) {
         long remainingMicros = job.doneSinceMicros(nowMicros) + FINAL_HEARTBEATS_WAIT_MICROS - nowMicros;
--- a/src/main/java/org/weldcourse/leader/LeaderTerm.java
+++ b/src/main/java/org/weldcourse/leader/LeaderTerm.java
@@ -22,9 +22,9 @@
 
 /**
  * One leader's term under one fencing token: creates and connects its components. After a failover the
- * {@link RecordReader} restores the records; the {@link HeartbeatHandler} answers the workers, the {@link AdmissionCycle}
- * admits and preempts tasks, and the {@link Autoscaler} scales out and in. The term owns the cluster's state, which is
- * discarded at its end. All methods run on the event loop of the {@link Timers}.
+ * {@link RecordReader} restores the records; the {@link HeartbeatHandler} answers the workers, the
+ * {@link AdmissionCycle} admits and preempts tasks, and the {@link Autoscaler} scales out and in. The term owns the
+ * cluster's state, which is discarded at its end. All methods run on the event loop of the {@link Timers}.
  */
 public final class LeaderTerm {
     private final LeaderTermDependencies dependencies;
@@ -41,7 +41,8 @@
     /**
      * Creates the term of the leader that was elected under this fencing token.
      *
-     * @param fencingTokenRevision the store's revision of the key that holds the token; every commit is conditional on it
+     * @param fencingTokenRevision the store's revision of the key that holds the token; every commit is conditional on
+     *     it
      */
     public LeaderTerm(LeaderTermDependencies dependencies, long fencingToken, long fencingTokenRevision) {
         this.dependencies = dependencies;
@@ -139,8 +140,8 @@
     }
 
     /**
-     * Answers a worker's heartbeat: 503 while this leader may not renew workers' leases, otherwise 200 with the commands
-     * for the worker. A response with 200 renews the worker's lease.
+     * Answers a worker's heartbeat: 503 while this leader may not renew workers' leases, otherwise 200 with the
+     * commands for the worker. A response with 200 renews the worker's lease.
      */
     public void handleHeartbeat(Heartbeat heartbeat, Reply reply) {
         heartbeats.handle(heartbeat, reply);
--- a/src/main/java/org/weldcourse/leader/RecoveryProgress.java
+++ b/src/main/java/org/weldcourse/leader/RecoveryProgress.java
@@ -36,7 +36,7 @@
         complete = true;
         revision = asOfRevision;
         LOG.info(
-                "fencing token {}: failover restored {} open jobs and {} other records as of revision {}, {} ms after election",
+                "fencing token {}: restored {} open jobs and {} other records as of revision {}, {} ms after election",
                 fencingToken,
                 cluster.jobs.size(),
                 records,
--- a/src/main/java/org/weldcourse/leader/StandbyWarmUp.java
+++ b/src/main/java/org/weldcourse/leader/StandbyWarmUp.java
@@ -15,8 +15,8 @@
 import org.weldcourse.store.Store;
 
 /**
- * JVM warm-up of a standby controller: runs the leader's code on a {@link SyntheticCluster}. Code that has not run yet is
- * many times slower, and after a failover all workers send heartbeats at once: on a small share of a core, a leader
+ * JVM warm-up of a standby controller: runs the leader's code on a {@link SyntheticCluster}. Code that has not run yet
+ * is many times slower, and after a failover all workers send heartbeats at once: on a small share of a core, a leader
  * without warm-up lost its lease before it had handled them. The warm-up runs in small steps that leave most of the
  * processor to user requests, sends nothing out of the process, and ends after a fixed number of rounds.
  */
@@ -89,7 +89,9 @@
         return MIN_PAUSE_MICROS;
     }
 
-    /** Runs one step of a round: create a cluster, then all passes of heartbeats and a cycle, then restore the records. */
+    /**
+     * Runs one step of a round: create a cluster, then all passes of heartbeats and a cycle, then restore the records.
+     */
     private void runNextStep() {
         int step = stepOfRound++;
         if (step == 0) {
--- a/src/main/java/org/weldcourse/leader/SyntheticCluster.java
+++ b/src/main/java/org/weldcourse/leader/SyntheticCluster.java
@@ -46,8 +46,8 @@
 import org.weldcourse.workers.StartCounts;
 
 /**
- * The synthetic cluster of one warm-up round: machines and jobs on which the code of a leader's term runs. Its time starts
- * at the time of the clock and advances by one heartbeat interval per cycle.
+ * The synthetic cluster of one warm-up round: machines and jobs on which the code of a leader's term runs. Its time
+ * starts at the time of the clock and advances by one heartbeat interval per cycle.
  */
 final class SyntheticCluster {
     /** Number of machines; they are numbered from 0. */
--- a/src/main/java/org/weldcourse/leader/TaskEviction.java
+++ b/src/main/java/org/weldcourse/leader/TaskEviction.java
@@ -55,7 +55,9 @@
         return Math.round(booking.job().spec().imageGb() / Math.max(MIN_FETCH_GB_PER_SECOND, gbPerSecond) * 2e6);
     }
 
-    /** Evicts tasks that won't finish before the cloud reclaims their spot machine, so that they can save a checkpoint. */
+    /**
+     * Evicts tasks that won't finish before the cloud reclaims their spot machine, so that they can save a checkpoint.
+     */
     void evictBeforeReclaim(Machine machine, long nowMicros) {
         if (machine.reclaimAtMicros == Long.MAX_VALUE) {
             return;
@@ -77,8 +79,8 @@
     }
 
     /**
-     * Requests the stop of a task, with a grace period if it saves checkpoints. If the task belongs to a gang, the whole
-     * gang is evicted.
+     * Requests the stop of a task, with a grace period if it saves checkpoints. If the task belongs to a gang, the
+     * whole gang is evicted.
      */
     void evict(Booking booking) {
         long graceMicros = booking.job().spec().checkpointIntervalMicros() > 0
--- a/src/main/java/org/weldcourse/persistence/AdmissionRecords.java
+++ b/src/main/java/org/weldcourse/persistence/AdmissionRecords.java
@@ -12,8 +12,8 @@
 import org.weldcourse.store.Transaction;
 
 /**
- * Writes the records of a job's admitted tasks. A large admission is split into several records, each within the store's
- * size limit. Where the layout has room for them, each record also contains all of the job's finished tasks.
+ * Writes the records of a job's admitted tasks. A large admission is split into several records, each within the
+ * store's size limit. Where the layout has room for them, each record also contains all of the job's finished tasks.
  */
 final class AdmissionRecords {
     private final FencedCommits fenced;
@@ -29,9 +29,9 @@
     }
 
     /**
-     * Writes an admission with the given commit, which may already hold conditions. If it fits, the admission is added to
-     * an existing record of the job, together with the finished tasks: the store limits the rate of writes more tightly
-     * than their size.
+     * Writes an admission with the given commit, which may already hold conditions. If it fits, the admission is added
+     * to an existing record of the job, together with the finished tasks: the store limits the rate of writes more
+     * tightly than their size.
      */
     void admit(Job job, int attempt, List<Booking> booked, Transaction txn, RecordWriter.WriteCallback callback) {
         Map<String, AdmittedTasks> writes = new LinkedHashMap<>();
--- a/src/main/java/org/weldcourse/persistence/ConfirmedCommits.java
+++ b/src/main/java/org/weldcourse/persistence/ConfirmedCommits.java
@@ -10,8 +10,8 @@
 import org.weldcourse.store.Transaction;
 
 /**
- * Fenced commits of records with a definite result: after a commit without a response, one of its records is read back to
- * find out whether the commit was applied. No results are reported after the end of the term.
+ * Fenced commits of records with a definite result: after a commit without a response, one of its records is read back
+ * to find out whether the commit was applied. No results are reported after the end of the term.
  */
 final class ConfirmedCommits {
     private static final Logger LOG = LoggerFactory.getLogger(ConfirmedCommits.class);
--- a/src/main/java/org/weldcourse/persistence/FencedCommits.java
+++ b/src/main/java/org/weldcourse/persistence/FencedCommits.java
@@ -9,7 +9,9 @@
 import org.weldcourse.store.Store.Outcome;
 import org.weldcourse.store.Transaction;
 
-/** A leader's writes: each is fenced by the token of its term, and they are rate-limited to a share of the write budget. */
+/**
+ * A leader's writes: each is fenced by the token of its term, and they are rate-limited to a share of the write budget.
+ */
 final class FencedCommits {
     /** The leader's share of the write budget; the rest is left to user requests and other controllers. */
     private static final double LEADER_WRITE_SHARE = 0.7;
--- a/src/main/java/org/weldcourse/persistence/FinishedTaskLayout.java
+++ b/src/main/java/org/weldcourse/persistence/FinishedTaskLayout.java
@@ -14,8 +14,8 @@
     private static final int MAX_SHARD_TASKS = 16_000;
     /**
      * First number of shards whose size differs from the default. These shards contain the index of their first task.
-     * Earlier versions compute the first task from the number: they place these shards beyond the last task of any job and
-     * ignore them, instead of marking wrong tasks as finished.
+     * Earlier versions compute the first task from the number: they place these shards beyond the last task of any job
+     * and ignore them, instead of marking wrong tasks as finished.
      */
     private static final int FIRST_CUSTOM_SIZE_SHARD = 100_000;
 
@@ -39,7 +39,9 @@
         return Math.min(MAX_SHARD_TASKS, Math.max(1, (valueBytes - 64) / 4 * 3) * 8);
     }
 
-    /** Whether a job's admission records have room for its finished tasks; those of very large jobs are kept in shards. */
+    /**
+     * Whether a job's admission records have room for its finished tasks; those of very large jobs are kept in shards.
+     */
     boolean isInAdmissions(Job job) {
         return FinishedTasksCodec.maxEncodedBytes(job.spec().tasks()) <= valueBytes / 4;
     }
--- a/src/main/java/org/weldcourse/persistence/JobCloser.java
+++ b/src/main/java/org/weldcourse/persistence/JobCloser.java
@@ -39,8 +39,9 @@
     }
 
     /**
-     * Replaces the open record of an ended job by its final record; its other records are deleted in the background. The
-     * same transaction writes a record of the tasks that may still be on machines, so that the next leader counts them.
+     * Replaces the open record of an ended job by its final record; its other records are deleted in the background.
+     * The same transaction writes a record of the tasks that may still be on machines, so that the next leader counts
+     * them.
      */
     void close(Job job) {
         if (job.isClosing() || job.isClosed() || job.records().isWriteInFlight()) {
--- a/src/main/java/org/weldcourse/persistence/JobRecordCommits.java
+++ b/src/main/java/org/weldcourse/persistence/JobRecordCommits.java
@@ -38,8 +38,8 @@
 
     /**
      * Commits records of a job. Each record contains the number of this write, which identifies it when it is read back
-     * after a commit without a response. Each write is conditional on the record's revision: an abandoned attempt may be
-     * applied late, and would restore entries that a later write removed.
+     * after a commit without a response. Each write is conditional on the record's revision: an abandoned attempt may
+     * be applied late, and would restore entries that a later write removed.
      */
     void commit(
             Job job,
--- a/src/main/java/org/weldcourse/persistence/OpenJobsWatch.java
+++ b/src/main/java/org/weldcourse/persistence/OpenJobsWatch.java
@@ -149,8 +149,8 @@
     }
 
     /**
-     * Reads a job's record again after a write failed its condition on the record. The watch may lag, or the job may have
-     * ended in the meantime: without this read the same write would be retried forever.
+     * Reads a job's record again after a write failed its condition on the record. The watch may lag, or the job may
+     * have ended in the meantime: without this read the same write would be retried forever.
      */
     void rereadJob(Job job) {
         if (job.isStale() || job.isClosed()) {
--- a/src/main/java/org/weldcourse/persistence/OutstandingRecord.java
+++ b/src/main/java/org/weldcourse/persistence/OutstandingRecord.java
@@ -13,9 +13,9 @@
 import org.weldcourse.jobs.StoreKeys;
 
 /**
- * The record of an ended job's tasks that may still be on machines: the job's specification and its admitted tasks. It is
- * written at the end of the job and deleted once there is evidence that the tasks are gone, so that every leader until then
- * counts them. Versions that don't know this record ignore it.
+ * The record of an ended job's tasks that may still be on machines: the job's specification and its admitted tasks. It
+ * is written at the end of the job and deleted once there is evidence that the tasks are gone, so that every leader
+ * until then counts them. Versions that don't know this record ignore it.
  */
 public final class OutstandingRecord {
     private static final long NO_REVISION = 0;
--- a/src/main/java/org/weldcourse/persistence/RecordReader.java
+++ b/src/main/java/org/weldcourse/persistence/RecordReader.java
@@ -54,8 +54,8 @@
     }
 
     /**
-     * Reads the open jobs and then the other records. During recovery, responses to heartbeats need only the cancelled jobs,
-     * so the open jobs come first.
+     * Reads the open jobs and then the other records. During recovery, responses to heartbeats need only the cancelled
+     * jobs, so the open jobs come first.
      */
     public void load() {
         openJobs.load(recovery::load);
@@ -67,8 +67,8 @@
     }
 
     /**
-     * Reads a job's record again after a write failed its condition on the record. The watch may lag, or the job may have
-     * ended in the meantime: without this read the same write would be retried forever.
+     * Reads a job's record again after a write failed its condition on the record. The watch may lag, or the job may
+     * have ended in the meantime: without this read the same write would be retried forever.
      */
     public void rereadJob(Job job) {
         openJobs.rereadJob(job);
--- a/src/main/java/org/weldcourse/persistence/RecordWriter.java
+++ b/src/main/java/org/weldcourse/persistence/RecordWriter.java
@@ -11,8 +11,8 @@
 import org.weldcourse.store.Transaction;
 
 /**
- * Persists a leader's decisions: admissions, finished tasks and the ends of jobs. Every commit is fenced by the token of
- * the leader's term, and at most one commit per job is in flight.
+ * Persists a leader's decisions: admissions, finished tasks and the ends of jobs. Every commit is fenced by the token
+ * of the leader's term, and at most one commit per job is in flight.
  */
 public final class RecordWriter {
     private static final long FINISHED_TASKS_SAVE_INTERVAL_MICROS = 8_000_000;
@@ -118,8 +118,8 @@
     }
 
     /**
-     * Writes the finished tasks of an open job, at intervals. The interval may be long: the job's admissions contain its
-     * finished tasks too, and workers report them to a successor as long as they were not told to forget them.
+     * Writes the finished tasks of an open job, at intervals. The interval may be long: the job's admissions contain
+     * its finished tasks too, and workers report them to a successor as long as they were not told to forget them.
      */
     public void saveFinishedTasks(Job job) {
         if (job.records().isWriteInFlight() || !job.hasUnpersistedDone() || !fenced.tryReserveBackgroundWrite()) {
