--- a/src/main/java/org/weldcourse/persistence/AdmissionRecords.java
+++ b/src/main/java/org/weldcourse/persistence/AdmissionRecords.java
@@ -105,7 +105,8 @@
         return current;
     }
 
-    private void write(Job job, Transaction txn, Map<String, AdmittedTasks> writes, RecordWriter.WriteCallback callback) {
+    private void write(
+            Job job, Transaction txn, Map<String, AdmittedTasks> writes, RecordWriter.WriteCallback callback) {
         BitSet done = layout.isInAdmissions(job) ? job.doneTasks() : null;
         int writeNumber = job.records().nextWriteNumber();
         Map<String, Map<String, Object>> records = new LinkedHashMap<>();
