--- a/src/main/java/org/weldcourse/leader/LeaderTermMetrics.java
+++ b/src/main/java/org/weldcourse/leader/LeaderTermMetrics.java
@@ -19,8 +19,8 @@
      * Reports a team's quota usage.
      *
      * @param booked resources of the team's bookings
-     * @param notBooked resources that count against the limit without a booking
+     * @param unbooked resources that count against the limit without a booking
      * @param limit the team's quota limit
      */
-    void reportTeam(String team, ResourceAmount booked, ResourceAmount notBooked, ResourceAmount limit);
+    void reportTeam(String team, ResourceAmount booked, ResourceAmount unbooked, ResourceAmount limit);
 }
--- a/src/main/java/org/weldcourse/persistence/AdmissionRecords.java
+++ b/src/main/java/org/weldcourse/persistence/AdmissionRecords.java
@@ -74,7 +74,7 @@
             }
         }
         if (smallest != null && smallest.size() <= txnOps) {
-            write(job, fenced.fenced(), smallest, callback);
+            write(job, fenced.newTransaction(), smallest, callback);
         }
     }
 
--- a/src/main/java/org/weldcourse/persistence/FencedCommits.java
+++ b/src/main/java/org/weldcourse/persistence/FencedCommits.java
@@ -68,35 +68,35 @@
     }
 
     /** Creates a transaction that is applied only if no other leader was elected. */
-    Transaction fenced() {
+    Transaction newTransaction() {
         return new Transaction().ifModRevision(FENCING_TOKEN_KEY, fencingTokenRevision);
     }
 
     /** Sends a transaction, with retries, until its result is definite. */
-    void send(Transaction txn, RetryingCommit.Callback done) {
+    void send(Transaction txn, RetryingCommit.Callback callback) {
         rateLimiter.consume(txn.operationCount());
         RetryingCommit.send(store, timers, txn, () -> !stopped, (commit, afterUnansweredAttempt) -> {
             if (commit.outcome() == Outcome.REFUSED && commit.failed().contains(FENCING_TOKEN_KEY)) {
                 onSuperseded.run();
                 return;
             }
-            done.accept(commit, afterUnansweredAttempt);
+            callback.accept(commit, afterUnansweredAttempt);
         });
     }
 
     /** Sends a write of low priority; returns false, and sends nothing, while the write budget is low. */
-    boolean writeInBackground(TransactionContent content, RetryingCommit.Callback done) {
-        if (!tryReserveBackgroundWrite()) {
+    boolean writeInBackground(TransactionContent content, RetryingCommit.Callback callback) {
+        if (!tryAcquireBackgroundWrite()) {
             return false;
         }
-        Transaction txn = fenced();
+        Transaction txn = newTransaction();
         content.addTo(txn);
-        send(txn, done);
+        send(txn, callback);
         return true;
     }
 
     /** Takes a permit for a background write if that leaves the reserve for admissions and the ends of jobs. */
-    boolean tryReserveBackgroundWrite() {
+    boolean tryAcquireBackgroundWrite() {
         return rateLimiter.tryAcquireAboveReserve(writesPerSecond * BACKGROUND_RESERVE_SECONDS);
     }
 
--- a/src/main/java/org/weldcourse/persistence/FinishedTaskShards.java
+++ b/src/main/java/org/weldcourse/persistence/FinishedTaskShards.java
@@ -25,7 +25,7 @@
     void save(Job job, RecordWriter.WriteCallback callback) {
         BitSet toSave = job.doneTasks();
         int writeNumber = job.records().nextWriteNumber();
-        Transaction txn = fenced.fenced();
+        Transaction txn = fenced.newTransaction();
         Map<String, Map<String, Object>> records = new LinkedHashMap<>();
         int shardTasks = layout.shardTasks();
         for (int shard = 0; shard * shardTasks < job.spec().tasks(); shard++) {
--- a/src/main/java/org/weldcourse/persistence/JobCloser.java
+++ b/src/main/java/org/weldcourse/persistence/JobCloser.java
@@ -55,7 +55,7 @@
         job.beginClosing();
         String id = job.spec().id();
         String outcome = job.isCancelled() ? "cancelled" : "done";
-        Transaction txn = fenced.fenced()
+        Transaction txn = fenced.newTransaction()
                 .ifModRevision(StoreKeys.openJob(id), job.records().jobRevision())
                 .delete(StoreKeys.openJob(id))
                 .put(StoreKeys.finalState(id), FinalStateCodec.encode(job.isCancelled(), job.doneCount()));
@@ -90,12 +90,12 @@
         if (keys.isEmpty() || fenced.isStopped()) {
             return;
         }
-        if (!fenced.tryReserveBackgroundWrite()) {
+        if (!fenced.tryAcquireBackgroundWrite()) {
             timers.after(DELETE_RETRY_MICROS, () -> deleteInBackground(keys));
             return;
         }
         int batchSize = Math.min(keys.size(), Math.max(1, txnOps / 2));
-        Transaction txn = fenced.fenced();
+        Transaction txn = fenced.newTransaction();
         keys.subList(0, batchSize).forEach(txn::delete);
         List<String> rest = new ArrayList<>(keys.subList(batchSize, keys.size()));
         fenced.send(txn, (commit, afterUnansweredAttempt) -> deleteInBackground(rest));
--- a/src/main/java/org/weldcourse/persistence/RecordWriter.java
+++ b/src/main/java/org/weldcourse/persistence/RecordWriter.java
@@ -80,8 +80,8 @@
     }
 
     /** Sends a write of low priority; returns false, and sends nothing, while the write budget is low. */
-    public boolean writeInBackground(FencedCommits.TransactionContent content, RetryingCommit.Callback done) {
-        return fenced.writeInBackground(content, done);
+    public boolean writeInBackground(FencedCommits.TransactionContent content, RetryingCommit.Callback callback) {
+        return fenced.writeInBackground(content, callback);
     }
 
     /** Replaces the open record of an ended job by its final record. */
@@ -112,7 +112,7 @@
             callback.completed(false);
             return;
         }
-        Transaction txn = fenced.fenced();
+        Transaction txn = fenced.newTransaction();
         listener.addAdmissionConditions(txn, job);
         admissions.admit(job, attempt, booked, txn, callback);
     }
@@ -122,7 +122,7 @@
      * its finished tasks too, and workers report them to a successor as long as they were not told to forget them.
      */
     public void saveFinishedTasks(Job job) {
-        if (job.records().isWriteInFlight() || !job.hasUnpersistedDone() || !fenced.tryReserveBackgroundWrite()) {
+        if (job.records().isWriteInFlight() || !job.hasUnpersistedDone() || !fenced.tryAcquireBackgroundWrite()) {
             return;
         }
         // No interval if finished tasks must first move to shards: until then the job can't be admitted again.
