--- a/src/main/java/org/weldcourse/leader/SyntheticCluster.java
+++ b/src/main/java/org/weldcourse/leader/SyntheticCluster.java
@@ -40,8 +40,8 @@
 import org.weldcourse.workers.CommandSelector;
 import org.weldcourse.workers.Heartbeat;
 import org.weldcourse.workers.HeartbeatCodec;
+import org.weldcourse.workers.HeartbeatReconciler;
 import org.weldcourse.workers.MalformedHeartbeatException;
-import org.weldcourse.workers.Reconciler;
 import org.weldcourse.workers.StartAuthorization;
 import org.weldcourse.workers.StartCounts;
 
@@ -68,7 +68,7 @@
     private final SnapshotBuilder snapshots;
     private final CapacityDemandEstimator demandEstimator;
     private final CommandSelector commands;
-    private final Reconciler reconciler;
+    private final HeartbeatReconciler reconciler;
     private final RecordWriter recordWriter;
     private long nowMicros;
     private int sequence;
@@ -90,7 +90,7 @@
         this.demandEstimator = new CapacityDemandEstimator(state, settings);
         StartAuthorization startAuthorization = new StartAuthorization(state, quotas, new StartCounts());
         this.commands = new CommandSelector(state, startAuthorization);
-        this.reconciler = new Reconciler(
+        this.reconciler = new HeartbeatReconciler(
                 state, commands, FENCING_TOKEN, settings.workers().leaseMicros(), startAuthorization);
         this.recordWriter =
                 new RecordWriter(store, clock, timers, settings.storeLimits(), 1, new IgnoredWriterEvents());
@@ -132,7 +132,7 @@
                 100_000_000);
         try {
             // Encoded and decoded, as when a leader reads the job's record.
-            JobSpec spec = JobRecordCodec.spec(
+            JobSpec spec = JobRecordCodec.decodeSpec(
                     Json.object(Json.parse(Json.bytes(JobRecordCodec.encode(submitted, 0, false)))));
             state.jobs.put(spec.id(), new Job(spec, 1, nowMicros));
         } catch (Json.MalformedJsonException | InvalidJobException unexpected) {
@@ -160,7 +160,7 @@
         } catch (MalformedHeartbeatException unexpected) {
             throw new IllegalStateException(unexpected);
         }
-        Reconciler.Result result =
+        HeartbeatReconciler.Result result =
                 reconciler.reconcile(state.getOrAddMachine(heartbeat.machine(), nowMicros), heartbeat, true, nowMicros);
         reply.send(200, CommandCodec.encodeHeartbeatResponse(FENCING_TOKEN, result.commands()));
     }
