--- a/src/main/java/org/weldcourse/app/Controller.java
+++ b/src/main/java/org/weldcourse/app/Controller.java
@@ -4,7 +4,7 @@
 import org.weldcourse.election.LeaderElection;
 import org.weldcourse.fleet.CloudClient;
 import org.weldcourse.fleet.MachineTypeCatalog;
-import org.weldcourse.http.Caller;
+import org.weldcourse.http.HttpClient;
 import org.weldcourse.http.Server;
 import org.weldcourse.jobs.JobApi;
 import org.weldcourse.leader.LeaderTerm;
@@ -55,7 +55,7 @@
     public Controller(
             Settings settings,
             OperatorSettings operatorSettings,
-            Caller caller,
+            HttpClient caller,
             Clock clock,
             Timers timers,
             String process) {
@@ -142,7 +142,7 @@
     }
 
     /** Whether this node believes it is the leader. */
-    public boolean leads() {
+    public boolean isLeader() {
         return election.isLeader();
     }
 
--- a/src/main/java/org/weldcourse/app/Main.java
+++ b/src/main/java/org/weldcourse/app/Main.java
@@ -12,9 +12,9 @@
     static final String VERSION = "0.3.0";
 
     /** The exit code of a command that failed. */
-    static final int FAILED = 1;
+    static final int EXIT_FAILURE = 1;
     /** The exit code for a wrong command line and for wrong settings. */
-    static final int BAD_USAGE = 2;
+    static final int EXIT_USAGE_ERROR = 2;
 
     private Main() {}
 
@@ -34,20 +34,20 @@
     /** Runs the command line and tells the exit code; a controller that was started runs on. */
     static int run(String[] args) {
         try {
-            if (isPlatformsCall(args)) {
+            if (isPlatformInvocation(args)) {
                 startController(Path.of(args[1]), null);
                 return 0;
             }
             return Commands.run(args);
         } catch (InvalidSettingsException | UsageException wrong) {
             System.err.println("weldcourse: " + wrong.getMessage());
-            return BAD_USAGE;
+            return EXIT_USAGE_ERROR;
         } catch (QuotaLedgerException failed) {
             System.err.println("weldcourse: " + failed.getMessage());
-            return FAILED;
+            return EXIT_FAILURE;
         } catch (Exception unexpected) {
             System.err.println("weldcourse: " + unexpected);
-            return FAILED;
+            return EXIT_FAILURE;
         }
     }
 
@@ -55,7 +55,7 @@
      * The one call that the platform makes. It says all that there is to read, so that picocli is left for what people
      * type: its hundred classes are a fifth of a start.
      */
-    static boolean isPlatformsCall(String[] args) {
+    static boolean isPlatformInvocation(String[] args) {
         return args.length == 2 && args[0].equals("--config") && !args[1].startsWith("-");
     }
 
--- a/src/main/java/org/weldcourse/app/Node.java
+++ b/src/main/java/org/weldcourse/app/Node.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.TimeUnit;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import org.weldcourse.http.NettyCaller;
+import org.weldcourse.http.NettyHttpClient;
 import org.weldcourse.http.Server;
 import org.weldcourse.leader.StandbyWarmUp;
 import org.weldcourse.peers.PeerConnections;
@@ -42,7 +42,7 @@
         this.settings = settings;
         this.eventLoop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
         this.timers = new EventLoopTimers(eventLoop);
-        NettyCaller caller = new NettyCaller(eventLoop, this::idleSockets);
+        NettyHttpClient caller = new NettyHttpClient(eventLoop, this::idleSockets);
         this.controller = new Controller(
                 settings,
                 operatorSettings,
@@ -50,7 +50,7 @@
                 timers,
                 timers,
                 UUID.randomUUID().toString());
-        int inboundConnections = settings.maxSockets() - settings.ownSockets();
+        int inboundConnections = settings.maxSockets() - settings.outboundSockets();
         this.server = new Server(
                 eventLoop,
                 controller.requestHandler(),
@@ -65,8 +65,8 @@
 
     /** What inbound connections leave free may idle on the node's own calls: a new connection for each message costs more. */
     private int idleSockets() {
-        int free = settings.maxSockets() - settings.ownSockets() - server.connections();
-        return Math.max(settings.idleSockets(), free);
+        int free = settings.maxSockets() - settings.outboundSockets() - server.openConnections();
+        return Math.max(settings.reservedIdleSockets(), free);
     }
 
     /** Listens to users, workers and peers, and starts the controller. */
@@ -87,7 +87,7 @@
 
     /** In the time that is left over, a standby warms up the leader's code, by way of a server as real requests take. */
     private void startWarmUp() {
-        warmUp = new StandbyWarmUp(settings, timers, timers, () -> !controller.leads());
+        warmUp = new StandbyWarmUp(settings, timers, timers, () -> !controller.isLeader());
         Server warmUpServer = new Server(
                 eventLoop, warmUp, timers, new Server.Limits(1, 1, Long.MAX_VALUE, Long.MAX_VALUE), () -> {});
         EmbeddedChannel connection = new EmbeddedChannel();
--- a/src/main/java/org/weldcourse/app/ProcessMetrics.java
+++ b/src/main/java/org/weldcourse/app/ProcessMetrics.java
@@ -7,12 +7,12 @@
     private long maxLateMicros;
 
     /** A background task began so many microseconds later than due. */
-    void taskWasLate(long micros) {
+    void recordLateness(long micros) {
         maxLateMicros = Math.max(maxLateMicros, micros);
     }
 
     /** One line about the time since the last call. */
-    String takeSummary() {
+    String summarizeAndReset() {
         Runtime runtime = Runtime.getRuntime();
         String processor = ProcessHandle.current()
                 .info()
--- a/src/main/java/org/weldcourse/app/StatusLogTask.java
+++ b/src/main/java/org/weldcourse/app/StatusLogTask.java
@@ -23,7 +23,7 @@
 
     @Override
     protected long step() {
-        LOG.info("version {}, {}", Main.VERSION, processMetrics.takeSummary());
+        LOG.info("version {}, {}", Main.VERSION, processMetrics.summarizeAndReset());
         if (!jobs.requestMetrics().isEmpty()) {
             LOG.info("{}", jobs.requestMetrics().summarizeAndReset());
         }
--- a/src/main/java/org/weldcourse/app/StoreProbeTask.java
+++ b/src/main/java/org/weldcourse/app/StoreProbeTask.java
@@ -22,7 +22,7 @@
     @Override
     protected long step() {
         // It comes every second, so that its lateness stands for that of all tasks.
-        processMetrics.taskWasLate(lateMicros());
+        processMetrics.recordLateness(lateMicros());
         if (clock.nowMicros() - store.lastCompletedMicros() >= PROBE_MICROS) {
             store.get(LeaderElection.FENCING_TOKEN_KEY, read -> {});
         }
--- a/src/main/java/org/weldcourse/app/WarmUp.java
+++ b/src/main/java/org/weldcourse/app/WarmUp.java
@@ -12,8 +12,8 @@
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import org.weldcourse.http.Caller.Call;
-import org.weldcourse.http.NettyCaller;
+import org.weldcourse.http.HttpClient.Call;
+import org.weldcourse.http.NettyHttpClient;
 import org.weldcourse.leader.StandbyWarmUp;
 import org.weldcourse.runtime.EventLoopTimers;
 import org.weldcourse.settings.InvalidSettingsException;
@@ -128,7 +128,7 @@
                 new Call(address, "POST", "/v1/jobs/req-000001/withdraw", Map.of(), 1_000_000),
                 new Call(address, "GET", "/v1/jobs/req-000009", null, 1_000_000),
                 new Call(address, "POST", "/checkin", StandInServices.json(HEARTBEAT), 1_000_000));
-        NettyCaller caller = new NettyCaller(loop, () -> 8);
+        NettyHttpClient caller = new NettyHttpClient(loop, () -> 8);
         CountDownLatch answered = new CountDownLatch(calls.size());
         Runnable callAll = () -> calls.forEach(call -> caller.call(call, answer -> answered.countDown()));
         loop.schedule(callAll, 800, TimeUnit.MILLISECONDS);
--- a/src/main/java/org/weldcourse/fleet/CloudClient.java
+++ b/src/main/java/org/weldcourse/fleet/CloudClient.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import org.weldcourse.http.Caller;
+import org.weldcourse.http.HttpClient;
 
 /**
  * Client of the cloud API that launches, lists and deletes machines. Every result carries an {@link Outcome};
@@ -18,11 +18,11 @@
 
     private static final long TIMEOUT_MICROS = 4_000_000;
 
-    private final Caller caller;
+    private final HttpClient caller;
     private final String address;
 
     /** Creates a client of the cloud API at {@code host:port}. */
-    public CloudClient(Caller caller, String address) {
+    public CloudClient(HttpClient caller, String address) {
         this.caller = caller;
         this.address = address;
     }
@@ -124,7 +124,7 @@
         });
     }
 
-    private void send(String method, String path, Map<String, Object> body, Caller.Done callback) {
-        caller.call(new Caller.Call(address, method, path, body, TIMEOUT_MICROS), callback);
+    private void send(String method, String path, Map<String, Object> body, HttpClient.Callback callback) {
+        caller.call(new HttpClient.Call(address, method, path, body, TIMEOUT_MICROS), callback);
     }
 }
--- a/src/main/java/org/weldcourse/fleet/CloudCodec.java
+++ b/src/main/java/org/weldcourse/fleet/CloudCodec.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import org.weldcourse.fleet.CloudClient.ListedMachine;
 import org.weldcourse.fleet.CloudClient.Outcome;
-import org.weldcourse.http.Caller;
+import org.weldcourse.http.HttpClient;
 import org.weldcourse.http.Json;
 
 /**
@@ -46,7 +46,7 @@
         return Json.of("forges", machines);
     }
 
-    static Outcome outcome(Caller.Answer response) {
+    static Outcome outcome(HttpClient.Response response) {
         return switch (response.status()) {
             case 200 -> Outcome.OK;
             case 429 -> Outcome.RATE_LIMITED;
--- a/src/main/java/org/weldcourse/http/NettyCaller.java
+++ b/src/main/java/org/weldcourse/http/NettyHttpClient.java
@@ -27,7 +27,7 @@
  * The caller on Netty: keeps idle connections by address and sends one request at a time on each. Not thread-safe: it
  * is called on its event loop only.
  */
-public final class NettyCaller implements Caller {
+public final class NettyHttpClient implements HttpClient {
     private static final int MAX_RESPONSE_BYTES = 16 * 1024 * 1024;
     private static final int CONNECT_TIMEOUT_MILLIS = 1_500;
     /** Appended to the address to keep dedicated connections apart from the shared ones in the pool. */
@@ -39,7 +39,7 @@
     private final IdleConnectionPool<Connection> idle;
 
     /** A caller that keeps at most {@code maxIdle} connections open for its next calls; asked anew each time. */
-    public NettyCaller(EventLoop loop, IntSupplier maxIdle) {
+    public NettyHttpClient(EventLoop loop, IntSupplier maxIdle) {
         this.loop = loop;
         this.idle = new IdleConnectionPool<>(maxIdle, connection -> connection.context.close());
     }
@@ -50,7 +50,7 @@
     }
 
     @Override
-    public void call(Call call, Done done) {
+    public void call(Call call, Callback done) {
         String poolKey = call.dedicatedConnection() ? call.address() + DEDICATED_SUFFIX : call.address();
         Connection idleConnection = takeIdle(poolKey);
         Exchange exchange = new Exchange(call, done);
@@ -90,7 +90,7 @@
         exchange.channel = connecting.channel();
         connecting.addListener(future -> {
             if (!future.isSuccess()) {
-                exchange.finish(Answer.NOT_SENT);
+                exchange.finish(Response.NOT_SENT);
             } else if (exchange.finished) {
                 connecting.channel().close();
             } else {
@@ -110,27 +110,27 @@
     /** One request and its answer; finishes exactly once. */
     private static final class Exchange {
         final Call call;
-        final Done done;
+        final Callback done;
         Future<?> timeout;
         Channel channel;
         boolean sent;
         boolean finished;
 
-        Exchange(Call call, Done done) {
+        Exchange(Call call, Callback done) {
             this.call = call;
             this.done = done;
         }
 
         void giveUp() {
             if (!finished) {
-                finish(sent ? Answer.UNANSWERED : Answer.NOT_SENT);
+                finish(sent ? Response.NO_RESPONSE : Response.NOT_SENT);
                 if (channel != null) {
                     channel.close();
                 }
             }
         }
 
-        void finish(Answer answer) {
+        void finish(Response answer) {
             if (finished) {
                 return;
             }
@@ -189,7 +189,7 @@
             } else {
                 ctx.close();
             }
-            answered.finish(new Answer(response.status().code(), Json.objectOrEmpty(body)));
+            answered.finish(new Response(response.status().code(), Json.objectOrEmpty(body)));
         }
 
         @Override
@@ -198,7 +198,7 @@
             if (current != null) {
                 Exchange lost = current;
                 current = null;
-                lost.finish(Answer.UNANSWERED);
+                lost.finish(Response.NO_RESPONSE);
             }
         }
 
--- a/src/main/java/org/weldcourse/http/Server.java
+++ b/src/main/java/org/weldcourse/http/Server.java
@@ -100,7 +100,7 @@
     }
 
     /** How many connections are open. */
-    public int connections() {
+    public int openConnections() {
         return connectionLimiter.size();
     }
 
--- a/src/main/java/org/weldcourse/leader/AdmissionCycle.java
+++ b/src/main/java/org/weldcourse/leader/AdmissionCycle.java
@@ -87,9 +87,9 @@
         this.directCommands = new DirectCommands(
                 cluster,
                 commands,
-                dependencies.caller(),
+                dependencies.httpClient(),
                 fencingToken,
-                dependencies.settings().directSockets());
+                dependencies.settings().workerCommandSockets());
         this.maxTasksPerAdmission =
                 RecordWriter.maxTasksPerAdmission(dependencies.settings().storeLimits());
     }
--- a/src/main/java/org/weldcourse/leader/LeaderTermDependencies.java
+++ b/src/main/java/org/weldcourse/leader/LeaderTermDependencies.java
@@ -4,7 +4,7 @@
 import org.weldcourse.election.LeaderElection;
 import org.weldcourse.fleet.CloudClient;
 import org.weldcourse.fleet.MachineTypeCatalog;
-import org.weldcourse.http.Caller;
+import org.weldcourse.http.HttpClient;
 import org.weldcourse.quota.enforcement.BudgetPlanner;
 import org.weldcourse.quota.ledger.QuotaLedger;
 import org.weldcourse.runtime.Clock;
@@ -22,7 +22,7 @@
 public record LeaderTermDependencies(
         Store store,
         CloudClient cloud,
-        Caller caller,
+        HttpClient httpClient,
         Clock clock,
         Timers timers,
         Settings settings,
--- a/src/main/java/org/weldcourse/leader/StandbyWarmUp.java
+++ b/src/main/java/org/weldcourse/leader/StandbyWarmUp.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
-import org.weldcourse.http.Caller;
+import org.weldcourse.http.HttpClient;
 import org.weldcourse.http.Json;
 import org.weldcourse.http.Server.Handler;
 import org.weldcourse.http.Server.Reply;
@@ -52,9 +52,9 @@
     }
 
     /** Acknowledges a store request as the real store would, but synchronously, and stores nothing. */
-    private static void acknowledge(Caller.Call call, Caller.Done done) {
+    private static void acknowledge(HttpClient.Call call, HttpClient.Callback done) {
         byte[] body = call.body() == null ? new byte[0] : Json.bytes(call.body());
-        done.accept(new Caller.Answer(200, body.length == 0 ? Map.of() : Json.of("ledger", 1L)));
+        done.accept(new HttpClient.Response(200, body.length == 0 ? Map.of() : Json.of("ledger", 1L)));
     }
 
     /**
--- a/src/main/java/org/weldcourse/persistence/FinishedTaskLayout.java
+++ b/src/main/java/org/weldcourse/persistence/FinishedTaskLayout.java
@@ -30,7 +30,7 @@
 
     FinishedTaskLayout(Settings.StoreLimits limits) {
         this.valueBytes = limits.safeValueBytes();
-        this.defaultShardTasks = shardTasks(limits.valueBytes());
+        this.defaultShardTasks = shardTasks(limits.maxValueBytes());
         this.shardTasks = shardTasks(valueBytes);
     }
 
--- a/src/main/java/org/weldcourse/persistence/JobCloser.java
+++ b/src/main/java/org/weldcourse/persistence/JobCloser.java
@@ -33,7 +33,7 @@
         this.timers = timers;
         this.fenced = fenced;
         this.commits = commits;
-        this.txnOps = limits.safeTxnOps();
+        this.txnOps = limits.safeTransactionOps();
         this.valueBytes = limits.safeValueBytes();
         this.listener = listener;
     }
--- a/src/main/java/org/weldcourse/persistence/RecordWriter.java
+++ b/src/main/java/org/weldcourse/persistence/RecordWriter.java
@@ -64,13 +64,13 @@
         ConfirmedCommits confirmed = new ConfirmedCommits(store, timers, fenced);
         this.jobCloser = new JobCloser(timers, fenced, confirmed, limits, listener);
         this.jobRecords = new JobRecordCommits(store, clock, timers, fenced, confirmed, listener);
-        this.admissions = new AdmissionRecords(fenced, jobRecords, layout, limits.safeTxnOps());
-        this.shards = new FinishedTaskShards(fenced, jobRecords, layout, limits.safeTxnOps());
+        this.admissions = new AdmissionRecords(fenced, jobRecords, layout, limits.safeTransactionOps());
+        this.shards = new FinishedTaskShards(fenced, jobRecords, layout, limits.safeTransactionOps());
     }
 
     /** The most tasks per admission for which its records fit one transaction, however the tasks are distributed. */
     public static int maxTasksPerAdmission(Settings.StoreLimits limits) {
-        int bytes = Math.min(48 * 1024, limits.safeValueBytes() * Math.max(1, limits.safeTxnOps() - 2) / 2);
+        int bytes = Math.min(48 * 1024, limits.safeValueBytes() * Math.max(1, limits.safeTransactionOps() - 2) / 2);
         return Math.max(1, Math.min(2_000, bytes / 16));
     }
 
--- a/src/main/java/org/weldcourse/quota/enforcement/QuotaSeeder.java
+++ b/src/main/java/org/weldcourse/quota/enforcement/QuotaSeeder.java
@@ -36,7 +36,7 @@
         List<TeamQuota> missing = new ArrayList<>();
         for (Settings.Team team : settings.teams()) {
             boolean absent = ledger.quota(team.name()) == null && !ledger.isUnreadable(team.name());
-            if (absent && missing.size() < settings.storeLimits().safeTxnOps()) {
+            if (absent && missing.size() < settings.storeLimits().safeTransactionOps()) {
                 missing.add(TeamQuota.ofSettings(team));
             }
         }
--- a/src/main/java/org/weldcourse/quota/ledger/QuotaCommand.java
+++ b/src/main/java/org/weldcourse/quota/ledger/QuotaCommand.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.TimeoutException;
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
-import org.weldcourse.http.NettyCaller;
+import org.weldcourse.http.NettyHttpClient;
 import org.weldcourse.quota.ResourceAmount;
 import org.weldcourse.quota.ledger.QuotaLedgerException.Reason;
 import org.weldcourse.runtime.EventLoopTimers;
@@ -132,7 +132,9 @@
         EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
         try {
             Store store = new Store(
-                    new NettyCaller(loop, () -> IDLE_CONNECTIONS), new EventLoopTimers(loop), settings.storeAddress());
+                    new NettyHttpClient(loop, () -> IDLE_CONNECTIONS),
+                    new EventLoopTimers(loop),
+                    settings.storeAddress());
             CompletableFuture<T> result = new CompletableFuture<>();
             loop.execute(() -> operation.accept(store, result::complete));
             return result.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
--- a/src/main/java/org/weldcourse/runtime/ScheduledTask.java
+++ b/src/main/java/org/weldcourse/runtime/ScheduledTask.java
@@ -66,7 +66,7 @@
     }
 
     /** Whether a further step is scheduled. */
-    public final boolean isPending() {
+    public final boolean isStepScheduled() {
         return next != null;
     }
 
--- a/src/main/java/org/weldcourse/settings/Settings.java
+++ b/src/main/java/org/weldcourse/settings/Settings.java
@@ -93,22 +93,22 @@
     public record StoreLimits(
             double requestsPerSecond,
             double writesPerSecond,
-            int valueBytes,
-            int txnOps,
+            int maxValueBytes,
+            int maxTransactionOps,
             UpcomingStoreLimits upcoming) {
         /** Limits that stay as they are. */
-        public StoreLimits(double requestsPerSecond, double writesPerSecond, int valueBytes, int txnOps) {
-            this(requestsPerSecond, writesPerSecond, valueBytes, txnOps, null);
+        public StoreLimits(double requestsPerSecond, double writesPerSecond, int maxValueBytes, int maxTransactionOps) {
+            this(requestsPerSecond, writesPerSecond, maxValueBytes, maxTransactionOps, null);
         }
 
         /** The size of a value that is allowed now and later. */
         public int safeValueBytes() {
-            return upcoming == null ? valueBytes : Math.min(valueBytes, upcoming.valueBytes());
+            return upcoming == null ? maxValueBytes : Math.min(maxValueBytes, upcoming.maxValueBytes());
         }
 
         /** The changes of a transaction that are allowed now and later. */
-        public int safeTxnOps() {
-            return upcoming == null ? txnOps : Math.min(txnOps, upcoming.txnOps());
+        public int safeTransactionOps() {
+            return upcoming == null ? maxTransactionOps : Math.min(maxTransactionOps, upcoming.maxTransactionOps());
         }
 
         /** The rate of changes that is allowed now and later. */
@@ -118,7 +118,7 @@
     }
 
     /** The limits that the state service may have from some moment on. */
-    public record UpcomingStoreLimits(double writesPerSecond, int valueBytes, int txnOps) {}
+    public record UpcomingStoreLimits(double writesPerSecond, int maxValueBytes, int maxTransactionOps) {}
 
     /** The limits of the cloud's interface. */
     public record CloudLimits(double requestsPerSecond, long listLagMicros) {}
@@ -127,18 +127,18 @@
      * Sockets kept back for the node's own calls: those to the state service wait for users' requests, which are
      * bounded, so that a large grant goes to workers and users.
      */
-    public int ownSockets() {
+    public int outboundSockets() {
         return Math.min(maxSockets / 4, MAX_OWN_SOCKETS);
     }
 
     /** How many of them may be left open for the next calls, however many connections others hold. */
-    public int idleSockets() {
-        return ownSockets() / 3;
+    public int reservedIdleSockets() {
+        return outboundSockets() / 3;
     }
 
     /** How many of them may be messages under way to workers. */
-    public int directSockets() {
-        return ownSockets() / 4;
+    public int workerCommandSockets() {
+        return outboundSockets() / 4;
     }
 
     /** The team of this name, or null. */
--- a/src/main/java/org/weldcourse/store/Store.java
+++ b/src/main/java/org/weldcourse/store/Store.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import org.weldcourse.http.Caller;
+import org.weldcourse.http.HttpClient;
 import org.weldcourse.runtime.Clock;
 
 /**
@@ -15,14 +15,14 @@
 public final class Store {
     private static final long TIMEOUT_MICROS = 1_500_000;
 
-    private final Caller caller;
+    private final HttpClient caller;
     private final Clock clock;
     private final String address;
     private long failingSinceMicros = -1;
     private long lastCompletedMicros;
 
     /** Creates a client of the store at {@code host:port}. */
-    public Store(Caller caller, Clock clock, String address) {
+    public Store(HttpClient caller, Clock clock, String address) {
         this.caller = caller;
         this.clock = clock;
         this.address = address;
@@ -159,7 +159,7 @@
      */
     public void renewLease(long leaseId, long timeoutMicros, Consumer<Outcome> callback) {
         send(
-                new Caller.Call(address, "POST", StoreCodec.renewalPath(leaseId), Map.of(), timeoutMicros, true),
+                new HttpClient.Call(address, "POST", StoreCodec.renewalPath(leaseId), Map.of(), timeoutMicros, true),
                 response -> callback.accept(StoreCodec.outcome(response.status())));
     }
 
@@ -200,12 +200,13 @@
         watch(prefix, afterRevision, 0, callback);
     }
 
-    private void send(String method, String path, Map<String, Object> body, long timeoutMicros, Caller.Done callback) {
-        send(new Caller.Call(address, method, path, body, timeoutMicros), callback);
+    private void send(
+            String method, String path, Map<String, Object> body, long timeoutMicros, HttpClient.Callback callback) {
+        send(new HttpClient.Call(address, method, path, body, timeoutMicros), callback);
     }
 
     /** Sends a request and tracks the store's availability: a 503, a timeout or a connection error is a failure. */
-    private void send(Caller.Call call, Caller.Done callback) {
+    private void send(HttpClient.Call call, HttpClient.Callback callback) {
         caller.call(call, response -> {
             int status = response.status();
             lastCompletedMicros = clock.nowMicros();
--- a/src/main/java/org/weldcourse/workers/DirectCommands.java
+++ b/src/main/java/org/weldcourse/workers/DirectCommands.java
@@ -5,7 +5,7 @@
 import org.weldcourse.cluster.Booking;
 import org.weldcourse.cluster.ClusterState;
 import org.weldcourse.cluster.Machine;
-import org.weldcourse.http.Caller;
+import org.weldcourse.http.HttpClient;
 
 /**
  * Sends commands to workers without waiting for their next heartbeat: stops, and single forget commands that prompt a
@@ -17,14 +17,14 @@
 
     private final ClusterState cluster;
     private final CommandSelector selector;
-    private final Caller caller;
+    private final HttpClient caller;
     private final long fencingToken;
     private final int maxInFlight;
     private int inFlight;
 
     /** Creates a sender with at most {@code maxInFlight} messages in flight, under this leader's fencing token. */
     public DirectCommands(
-            ClusterState cluster, CommandSelector selector, Caller caller, long fencingToken, int maxInFlight) {
+            ClusterState cluster, CommandSelector selector, HttpClient caller, long fencingToken, int maxInFlight) {
         this.cluster = cluster;
         this.selector = selector;
         this.caller = caller;
@@ -79,7 +79,7 @@
         machine.directCommandsInFlight = true;
         inFlight++;
         caller.call(
-                new Caller.Call(
+                new HttpClient.Call(
                         machine.address,
                         "POST",
                         "/orders",
--- a/src/test/java/org/weldcourse/app/FailureCombinations.java
+++ b/src/test/java/org/weldcourse/app/FailureCombinations.java
@@ -2,7 +2,7 @@
 
 import java.nio.charset.StandardCharsets;
 import java.util.function.BiPredicate;
-import org.weldcourse.http.Caller;
+import org.weldcourse.http.HttpClient;
 import org.weldcourse.http.Json;
 import org.weldcourse.simulation.FakeNetwork;
 import org.weldcourse.simulation.SimulatedCluster;
@@ -23,7 +23,7 @@
     }
 
     /** Holds up such calls, which get no answer in time, and counts them. */
-    static int[] hold(SimulatedCluster world, long micros, BiPredicate<String, Caller.Call> which) {
+    static int[] hold(SimulatedCluster world, long micros, BiPredicate<String, HttpClient.Call> which) {
         int[] held = new int[1];
         world.network.injectFaults((from, call) -> {
             boolean holds = which.test(from, call);
@@ -33,11 +33,11 @@
         return held;
     }
 
-    static boolean isAdmission(Caller.Call call) {
+    static boolean isAdmission(HttpClient.Call call) {
         return commits(call, "slices/");
     }
 
-    static boolean commits(Caller.Call call, String prefix) {
+    static boolean commits(HttpClient.Call call, String prefix) {
         return call.path().equals("/commit")
                 && new String(Json.bytes(call.body()), StandardCharsets.UTF_8).contains(prefix);
     }
--- a/src/test/java/org/weldcourse/app/IsolatedLeaderTest.java
+++ b/src/test/java/org/weldcourse/app/IsolatedLeaderTest.java
@@ -128,10 +128,10 @@
         world.cutFromPeers(old);
         world.clock.passSeconds(7);
         String successor = world.nodes().stream()
-                .filter(node -> !node.equals(old) && world.controller(node).leads())
+                .filter(node -> !node.equals(old) && world.controller(node).isLeader())
                 .findFirst()
                 .orElseThrow();
-        assertTrue(world.controller(old).leads(), "it has heard of nothing");
+        assertTrue(world.controller(old).isLeader(), "it has heard of nothing");
         scenario.cancelThrough(successor, id);
         assertNotEquals(200, world.poll(old, id).status());
         world.clock.passSeconds(30);
--- a/src/test/java/org/weldcourse/app/LeaderFailoverTest.java
+++ b/src/test/java/org/weldcourse/app/LeaderFailoverTest.java
@@ -72,7 +72,7 @@
         world.clock.passSeconds(8);
         String successor = null;
         for (String node : List.of("n0", "n1", "n2")) {
-            if (!node.equals(old) && world.controller(node).leads()) {
+            if (!node.equals(old) && world.controller(node).isLeader()) {
                 successor = node;
             }
         }
@@ -226,7 +226,7 @@
         int released = world.cloud.released.size();
         world.thawNode(old);
         world.clock.pass(300_000);
-        assertFalse(world.controller(old).leads(), "after " + millis);
+        assertFalse(world.controller(old).isLeader(), "after " + millis);
         assertEquals(machines, world.cloud.machines().size());
         assertEquals(released, world.cloud.released.size());
         assertEquals("cancelled", world.poll(old, "req-000054").state());
--- a/src/test/java/org/weldcourse/app/MainTest.java
+++ b/src/test/java/org/weldcourse/app/MainTest.java
@@ -14,7 +14,7 @@
     @Test
     void thePlatformsCallMeansWhatPicocliMakesOfIt() {
         String[] call = {"--config", "/etc/settings.toml"};
-        assertTrue(Main.isPlatformsCall(call));
+        assertTrue(Main.isPlatformInvocation(call));
         ParseResult parsed = CommandLineModel.commandLine().parseArgs(call);
         assertEquals(Path.of(call[1]), parsed.matchedOptionValue("--config", null));
         assertFalse(parsed.hasSubcommand());
@@ -32,7 +32,7 @@
             {"--config", "a", "--operators", "b"},
             {"--help", "a"}
         }) {
-            assertFalse(Main.isPlatformsCall(call));
+            assertFalse(Main.isPlatformInvocation(call));
         }
     }
 
@@ -47,7 +47,7 @@
             {"--config", "no such file"},
             {"check", "--config", "no such file"}
         }) {
-            assertEquals(Main.BAD_USAGE, Main.run(call), String.join(" ", call));
+            assertEquals(Main.EXIT_USAGE_ERROR, Main.run(call), String.join(" ", call));
         }
     }
 
--- a/src/test/java/org/weldcourse/app/ProcessMetricsTest.java
+++ b/src/test/java/org/weldcourse/app/ProcessMetricsTest.java
@@ -9,11 +9,11 @@
     @Test
     void tellsTheWorstSinceItWasLastAsked() {
         ProcessMetrics metrics = new ProcessMetrics();
-        metrics.taskWasLate(20_000);
-        metrics.taskWasLate(350_000);
-        metrics.taskWasLate(1_000);
-        assertTrue(metrics.takeSummary().contains("late by 350 ms at most"));
-        String next = metrics.takeSummary();
+        metrics.recordLateness(20_000);
+        metrics.recordLateness(350_000);
+        metrics.recordLateness(1_000);
+        assertTrue(metrics.summarizeAndReset().contains("late by 350 ms at most"));
+        String next = metrics.summarizeAndReset();
         assertTrue(next.contains("late by 0 ms at most"), next);
         assertTrue(next.contains(" of " + Runtime.getRuntime().maxMemory() / (1024 * 1024) + " MB"), next);
     }
--- a/src/test/java/org/weldcourse/election/LeaderElectionTest.java
+++ b/src/test/java/org/weldcourse/election/LeaderElectionTest.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.weldcourse.http.Caller;
+import org.weldcourse.http.HttpClient;
 import org.weldcourse.http.Json;
 import org.weldcourse.simulation.FakeClock;
 import org.weldcourse.store.Store;
@@ -39,15 +39,15 @@
         assertTrue(election.isLeader());
     }
 
-    private void answer(Caller.Call call, Caller.Done done) {
+    private void answer(HttpClient.Call call, HttpClient.Callback done) {
         boolean renewal = call.path().endsWith("/extend");
         assertEquals(renewal, call.dedicatedConnection(), call.path());
         if (renewal) {
             renewals++;
         }
-        Caller.Answer answer = call.path().startsWith("/store/")
-                ? new Caller.Answer(404, Map.of())
-                : new Caller.Answer(200, Json.of("permit", 1L, "ledger", 1L, "pairs", List.of()));
+        HttpClient.Response answer = call.path().startsWith("/store/")
+                ? new HttpClient.Response(404, Map.of())
+                : new HttpClient.Response(200, Json.of("permit", 1L, "ledger", 1L, "pairs", List.of()));
         time.after(renewal ? renewalDelayMicros : 1_000, () -> done.accept(answer));
     }
 
--- a/src/test/java/org/weldcourse/fleet/CloudClientTest.java
+++ b/src/test/java/org/weldcourse/fleet/CloudClientTest.java
@@ -8,15 +8,15 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 import org.weldcourse.fleet.CloudClient.Outcome;
-import org.weldcourse.http.Caller;
+import org.weldcourse.http.HttpClient;
 import org.weldcourse.http.Json;
 
 /** Tests the requests sent to the cloud API and the outcomes derived from its responses. */
 class CloudClientTest {
     private static final Offering SPOT = new Offering("small", "a", true);
 
-    private final List<Caller.Call> calls = new ArrayList<>();
-    private Caller.Answer response = Caller.Answer.UNANSWERED;
+    private final List<HttpClient.Call> calls = new ArrayList<>();
+    private HttpClient.Response response = HttpClient.Response.NO_RESPONSE;
     private final CloudClient cloud = new CloudClient(
             (call, done) -> {
                 calls.add(call);
@@ -24,11 +24,11 @@
             },
             "cloud:1");
 
-    private static Caller.Answer response(int status, Object... body) {
-        return new Caller.Answer(status, Json.of(body));
+    private static HttpClient.Response response(int status, Object... body) {
+        return new HttpClient.Response(status, Json.of(body));
     }
 
-    private Outcome outcomeOf(Caller.Answer nextResponse) {
+    private Outcome outcomeOf(HttpClient.Response nextResponse) {
         response = nextResponse;
         List<Outcome> outcomes = new ArrayList<>();
         cloud.delete(List.of("m-1"), outcomes::add);
@@ -45,9 +45,9 @@
         assertEquals(Outcome.OK, outcomeOf(response(200)));
         assertEquals(Outcome.NO_CAPACITY, outcomeOf(response(503, "error", "no capacity")));
         assertEquals(Outcome.UNAVAILABLE, outcomeOf(response(503, "error", "trouble")));
-        assertEquals(Outcome.UNAVAILABLE, outcomeOf(Caller.Answer.NOT_SENT));
+        assertEquals(Outcome.UNAVAILABLE, outcomeOf(HttpClient.Response.NOT_SENT));
         assertEquals(Outcome.RATE_LIMITED, outcomeOf(response(429)));
-        assertEquals(Outcome.UNKNOWN, outcomeOf(Caller.Answer.UNANSWERED));
+        assertEquals(Outcome.UNKNOWN, outcomeOf(HttpClient.Response.NO_RESPONSE));
         assertEquals(Outcome.INVALID, outcomeOf(response(400)));
         assertEquals(Outcome.INVALID, outcomeOf(response(500)));
     }
@@ -56,14 +56,14 @@
     void launchSendsRequestIdAndOffering() {
         response = response(200, "forges", List.of("m-1", 7, "m-2"));
         cloud.launch("w-4-1", SPOT, 3, launch -> assertEquals(List.of("m-1", "m-2"), launch.machines()));
-        Caller.Call call = calls.get(0);
+        HttpClient.Call call = calls.get(0);
         assertEquals("POST /machines", call.method() + " " + call.path());
         assertEquals(Json.of("hire", "w-4-1", "rig", "small", "yard", "a", "loaners", true, "number", 3), call.body());
     }
 
     @Test
     void listReadsAllPages() {
-        List<Caller.Answer> pages = new ArrayList<>(List.of(
+        List<HttpClient.Response> pages = new ArrayList<>(List.of(
                 response(
                         200, "forges", List.of(machine("m-1", "starting"), Map.of("heat", "failed")), "has_next", true),
                 response(200, "forges", List.of(machine("m-2", "failed")), "has_next", false)));
@@ -86,7 +86,7 @@
 
     @Test
     void listFailsWhenAPageFails() {
-        List<Caller.Answer> pages = new ArrayList<>(
+        List<HttpClient.Response> pages = new ArrayList<>(
                 List.of(response(200, "forges", List.of(machine("m-1", "running")), "has_next", true), response(429)));
         List<CloudClient.MachineList> lists = new ArrayList<>();
         new CloudClient((call, done) -> done.accept(pages.remove(0)), "cloud:1").list(lists::add);
--- a/src/test/java/org/weldcourse/leader/StandbyWarmUpTest.java
+++ b/src/test/java/org/weldcourse/leader/StandbyWarmUpTest.java
@@ -46,7 +46,7 @@
         SyntheticCluster last = warmUp.cluster();
         time.passSeconds(600);
         assertSame(last, warmUp.cluster());
-        assertFalse(warmUp.isPending());
+        assertFalse(warmUp.isStepScheduled());
     }
 
     @Test
--- a/src/test/java/org/weldcourse/peers/PeersTest.java
+++ b/src/test/java/org/weldcourse/peers/PeersTest.java
@@ -82,7 +82,7 @@
         String old = cluster.leader();
         cluster.cutFromStore(old);
         cluster.controller(old).peers().heartbeatReceived(new PeerStatus("nx", 99, true, true, false));
-        assertFalse(cluster.controller(old).leads());
+        assertFalse(cluster.controller(old).isLeader());
     }
 
     @Test
--- a/src/test/java/org/weldcourse/settings/SettingsTest.java
+++ b/src/test/java/org/weldcourse/settings/SettingsTest.java
@@ -64,7 +64,7 @@
         Settings settings = SettingsFile.parse(new StringReader(FILE));
         assertEquals(1_500_000, settings.workers().heartbeatIntervalMicros());
         assertEquals(10_000_000, settings.workers().leaseMicros());
-        assertEquals(4096, settings.storeLimits().valueBytes());
+        assertEquals(4096, settings.storeLimits().maxValueBytes());
         assertEquals("n-2", settings.peers().get(0).name());
         assertTrue(Double.isInfinite(settings.team("t").cpusMax()));
         assertEquals(2.0, settings.team("t").gpusMax());
@@ -77,7 +77,7 @@
                         "txn_ops = 8\n[deployment.state.next]\nwrite_rps = 60.0\nvalue_kb = 2.0\ntxn_ops = 4")))
                 .storeLimits();
         assertEquals(2048, state.safeValueBytes());
-        assertEquals(4, state.safeTxnOps());
+        assertEquals(4, state.safeTransactionOps());
         assertEquals(50.0, state.safeWritesPerSecond());
         assertEquals(
                 4096, SettingsFile.parse(new StringReader(FILE)).storeLimits().safeValueBytes());
--- a/src/test/java/org/weldcourse/simulation/FakeNetwork.java
+++ b/src/test/java/org/weldcourse/simulation/FakeNetwork.java
@@ -4,7 +4,7 @@
 import java.util.HashSet;
 import java.util.Map;
 import java.util.Set;
-import org.weldcourse.http.Caller;
+import org.weldcourse.http.HttpClient;
 import org.weldcourse.http.Json;
 import org.weldcourse.http.Server;
 
@@ -22,7 +22,7 @@
 
     /** What becomes of a call: normal, carried out at once with its answer lost, or after so long with no answer. */
     public interface FaultInjection {
-        long of(String from, Caller.Call call);
+        long of(String from, HttpClient.Call call);
     }
 
     public static final long NORMAL = -1;
@@ -81,24 +81,24 @@
         }
     }
 
-    public Caller caller(String from) {
+    public HttpClient caller(String from) {
         return (call, done) -> {
             boolean[] finished = new boolean[1];
             String way = from + ">" + call.address();
             long fate = faults.of(from, call);
-            time.after(call.timeoutMicros(), () -> finish(finished, done, Caller.Answer.UNANSWERED));
+            time.after(call.timeoutMicros(), () -> finish(finished, done, HttpClient.Response.NO_RESPONSE));
             long tripMicros = TRIP_MICROS + slowMicros.getOrDefault(call.address(), 0L) + Math.max(0, fate);
             time.after(tripMicros, () -> {
                 if (cuts.contains(way)) {
                     return;
                 }
                 if (refusals.contains(way)) {
-                    finish(finished, done, new Caller.Answer(503, Map.of()));
+                    finish(finished, done, new HttpClient.Response(503, Map.of()));
                     return;
                 }
                 Server.Handler handler = hosts.get(call.address());
                 if (handler == null) {
-                    finish(finished, done, Caller.Answer.NOT_SENT);
+                    finish(finished, done, HttpClient.Response.NOT_SENT);
                     return;
                 }
                 byte[] body = call.body() == null ? new byte[0] : Json.bytes(call.body());
@@ -116,7 +116,7 @@
                                         || fate >= 0
                                         || refusals.contains(way) && call.path().startsWith("/watch");
                                 if (!lost) {
-                                    finish(finished, done, new Caller.Answer(status, copy));
+                                    finish(finished, done, new HttpClient.Response(status, copy));
                                 }
                             });
                         });
@@ -124,7 +124,7 @@
         };
     }
 
-    private static void finish(boolean[] finished, Caller.Done done, Caller.Answer answer) {
+    private static void finish(boolean[] finished, HttpClient.Callback done, HttpClient.Response answer) {
         if (!finished[0]) {
             finished[0] = true;
             done.accept(answer);
--- a/src/test/java/org/weldcourse/simulation/FakeWorker.java
+++ b/src/test/java/org/weldcourse/simulation/FakeWorker.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import org.weldcourse.http.Caller;
+import org.weldcourse.http.HttpClient;
 import org.weldcourse.http.Json;
 import org.weldcourse.http.Server;
 
@@ -12,7 +12,7 @@
     private static final long HEARTBEAT_TIMEOUT_MICROS = 4_000_000;
 
     private final FakeClock clock;
-    private final Caller caller;
+    private final HttpClient caller;
     private final List<String> controllers;
     private final Map<String, String> addressByName;
     private final FakeCloud.Rented machine;
@@ -38,7 +38,7 @@
 
     public FakeWorker(
             FakeClock clock,
-            Caller caller,
+            HttpClient caller,
             List<String> controllers,
             Map<String, String> addressByName,
             FakeCloud.Rented machine,
@@ -177,7 +177,7 @@
         Map<String, Object> body = heartbeat();
         heartbeats.add(body);
         caller.call(
-                new Caller.Call(controllers.get(target), "POST", "/checkin", body, HEARTBEAT_TIMEOUT_MICROS),
+                new HttpClient.Call(controllers.get(target), "POST", "/checkin", body, HEARTBEAT_TIMEOUT_MICROS),
                 answer -> whenAwake(() -> {
                     inFlight = false;
                     if (!alive || sentIncarnation != incarnation) {
--- a/src/test/java/org/weldcourse/simulation/LoopbackCluster.java
+++ b/src/test/java/org/weldcourse/simulation/LoopbackCluster.java
@@ -17,7 +17,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
-import org.weldcourse.http.NettyCaller;
+import org.weldcourse.http.NettyHttpClient;
 import org.weldcourse.http.Server;
 import org.weldcourse.runtime.EventLoopTimers;
 import org.weldcourse.settings.Settings;
@@ -167,7 +167,7 @@
         apiPorts.forEach((name, port) -> addressByName.put(name, HOST + ":" + port));
         FakeWorker worker = new FakeWorker(
                 time,
-                faults.from(rented.name(), new NettyCaller(loop, () -> 1), nameByAddress()),
+                faults.from(rented.name(), new NettyHttpClient(loop, () -> 1), nameByAddress()),
                 new ArrayList<>(addressByName.values()),
                 addressByName,
                 rented,
@@ -219,8 +219,8 @@
     }
 
     /** A caller on the stand-ins' event loop. */
-    public NettyCaller caller() {
-        return new NettyCaller(loop, () -> 4);
+    public NettyHttpClient caller() {
+        return new NettyHttpClient(loop, () -> 4);
     }
 
     private void machineGone(String name) {
--- a/src/test/java/org/weldcourse/simulation/NetworkFaults.java
+++ b/src/test/java/org/weldcourse/simulation/NetworkFaults.java
@@ -8,7 +8,7 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.TreeMap;
-import org.weldcourse.http.Caller;
+import org.weldcourse.http.HttpClient;
 import org.weldcourse.http.Json;
 import org.weldcourse.http.Server;
 
@@ -181,11 +181,11 @@
     }
 
     /** A caller as it reaches the ends with these addresses. */
-    public Caller from(String from, Caller caller, Map<String, String> nameByAddress) {
+    public HttpClient from(String from, HttpClient caller, Map<String, String> nameByAddress) {
         return (call, done) -> {
             String to = nameByAddress.getOrDefault(call.address(), call.address());
             boolean[] ended = new boolean[1];
-            time.after(call.timeoutMicros(), () -> finish(ended, done, Caller.Answer.UNANSWERED));
+            time.after(call.timeoutMicros(), () -> finish(ended, done, HttpClient.Response.NO_RESPONSE));
             if (cuts.contains(link(from, to)) || cuts.contains(link(from, ANYBODY))) {
                 count(Effect.REQUEST_CUT);
                 return;
@@ -204,8 +204,8 @@
         };
     }
 
-    private static Caller.Call copy(Caller.Call call) {
-        return new Caller.Call(
+    private static HttpClient.Call copy(HttpClient.Call call) {
+        return new HttpClient.Call(
                 call.address(),
                 call.method(),
                 call.path(),
@@ -213,7 +213,7 @@
                 call.timeoutMicros());
     }
 
-    private static void finish(boolean[] ended, Caller.Done done, Caller.Answer answer) {
+    private static void finish(boolean[] ended, HttpClient.Callback done, HttpClient.Response answer) {
         if (!ended[0]) {
             ended[0] = true;
             done.accept(answer);
--- a/src/test/java/org/weldcourse/simulation/PausableProcess.java
+++ b/src/test/java/org/weldcourse/simulation/PausableProcess.java
@@ -4,7 +4,7 @@
 import java.util.Collections;
 import java.util.List;
 import java.util.Random;
-import org.weldcourse.http.Caller;
+import org.weldcourse.http.HttpClient;
 import org.weldcourse.runtime.Timers;
 
 /**
@@ -58,7 +58,7 @@
         return () -> off[0] = true;
     }
 
-    Caller caller(Caller outside) {
+    HttpClient caller(HttpClient outside) {
         return (call, done) -> outside.call(call, answer -> run(() -> done.accept(answer)));
     }
 }
--- a/src/test/java/org/weldcourse/simulation/SimulatedControllers.java
+++ b/src/test/java/org/weldcourse/simulation/SimulatedControllers.java
@@ -100,7 +100,7 @@
     String leader() {
         String leader = null;
         for (Map.Entry<String, Controller> entry : controllers.entrySet()) {
-            if (entry.getValue().leads()) {
+            if (entry.getValue().isLeader()) {
                 leader = entry.getKey();
             }
         }
--- a/src/test/java/org/weldcourse/soak/SoakUsers.java
+++ b/src/test/java/org/weldcourse/soak/SoakUsers.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.Set;
-import org.weldcourse.http.Caller;
+import org.weldcourse.http.HttpClient;
 import org.weldcourse.http.Json;
 import org.weldcourse.settings.Settings;
 import org.weldcourse.simulation.ClusterInvariants;
@@ -28,7 +28,7 @@
 
     private final LoopbackCluster cluster;
     private final ClusterInvariants rules;
-    private final Caller caller;
+    private final HttpClient caller;
     private final List<String> teams;
     private final Random random;
     private final int mostOpen;
@@ -135,7 +135,7 @@
 
     private void submit(String id, int tries) {
         String before = rules.lastTold(id);
-        Caller.Call call = new Caller.Call(
+        HttpClient.Call call = new HttpClient.Call(
                 cluster.api(node()),
                 "POST",
                 "/v1/jobs",
@@ -172,12 +172,12 @@
         ask(node, "GET", "/v1/jobs/" + id, POLL_TIMEOUT_MICROS, answer -> heard(id, before, answer));
     }
 
-    private void ask(String node, String method, String path, long timeoutMicros, Caller.Done done) {
-        Caller.Call call = new Caller.Call(cluster.api(node), method, path, null, timeoutMicros);
+    private void ask(String node, String method, String path, long timeoutMicros, HttpClient.Callback done) {
+        HttpClient.Call call = new HttpClient.Call(cluster.api(node), method, path, null, timeoutMicros);
         caller.call(call, answer -> cluster.guarded(() -> done.accept(answer)));
     }
 
-    private void heard(String id, String before, Caller.Answer answer) {
+    private void heard(String id, String before, HttpClient.Response answer) {
         if (answer.status() <= 0) {
             return;
         }
