--- a/src/test/java/org/weldcourse/app/EarlierRecords.java
+++ b/src/test/java/org/weldcourse/app/EarlierRecords.java
@@ -14,17 +14,17 @@
 
     private EarlierRecords() {}
 
-    static Map<String, Object> production() throws Exception {
-        return fixture("/production/records.json");
+    static Map<String, Object> productionRecords() throws Exception {
+        return loadFixture("/production/records.json");
     }
 
-    static Map<String, Object> fixture(String name) throws Exception {
+    static Map<String, Object> loadFixture(String name) throws Exception {
         try (var in = EarlierRecords.class.getResourceAsStream(name)) {
             return Json.object(Json.parse(in.readAllBytes()));
         }
     }
 
-    static void plant(SimulatedCluster world, Map<String, Object> records) {
+    static void storeRecords(SimulatedCluster world, Map<String, Object> records) {
         records.forEach((key, value) -> {
             if (key.contains("/") || key.equals("types")) {
                 world.store.plant(key, value);
@@ -33,7 +33,7 @@
     }
 
     /** The record of a job that production accepted. */
-    static void plantOpen(SimulatedCluster world, Map<String, Object> body) {
+    static void storeOpenJob(SimulatedCluster world, Map<String, Object> body) {
         Map<String, Object> open = Json.objectOrEmpty(Json.bytes(body));
         open.put("accepted", world.clock.wallMicros());
         open.put("cancelled", false);
@@ -45,7 +45,7 @@
     }
 
     /** How the production version reads finished tasks, written down here once more and on its own. */
-    static BitSet finishedAsProductionReads(SimulatedCluster world, String id, int tasks, int valueBytes) {
+    static BitSet finishedTasksAsReadByProduction(SimulatedCluster world, String id, int tasks, int valueBytes) {
         int shardTasks = Math.min(16_000, (valueBytes - 64) / 4 * 3 * 8);
         BitSet finished = new BitSet();
         for (String key : world.store.keys("done/" + id + "/")) {
@@ -65,7 +65,7 @@
     }
 
     /** The tasks of a job that a fixture's records call finished: shards say where they begin. */
-    static BitSet finishedIn(Map<String, Object> records, String id) {
+    static BitSet finishedTasksIn(Map<String, Object> records, String id) {
         BitSet finished = new BitSet();
         records.forEach((key, value) -> {
             if (key.startsWith("slices/" + id + "/") || key.startsWith("done/" + id + "/")) {
--- a/src/test/java/org/weldcourse/app/FailureCombinations.java
+++ b/src/test/java/org/weldcourse/app/FailureCombinations.java
@@ -23,7 +23,7 @@
     }
 
     /** Holds up such calls, which get no answer in time, and counts them. */
-    static int[] hold(SimulatedCluster world, long micros, BiPredicate<String, HttpClient.Call> which) {
+    static int[] delayCalls(SimulatedCluster world, long micros, BiPredicate<String, HttpClient.Call> which) {
         int[] held = new int[1];
         world.network.injectFaults((from, call) -> {
             boolean holds = which.test(from, call);
@@ -34,10 +34,10 @@
     }
 
     static boolean isAdmission(HttpClient.Call call) {
-        return commits(call, "slices/");
+        return isCommitTo(call, "slices/");
     }
 
-    static boolean commits(HttpClient.Call call, String prefix) {
+    static boolean isCommitTo(HttpClient.Call call, String prefix) {
         return call.path().equals("/commit")
                 && new String(Json.bytes(call.body()), StandardCharsets.UTF_8).contains(prefix);
     }
--- a/src/test/java/org/weldcourse/app/FailureScenario.java
+++ b/src/test/java/org/weldcourse/app/FailureScenario.java
@@ -21,14 +21,14 @@
 
     private final boolean arraysAreServices;
     private final Set<String> services = new HashSet<>();
-    final SimulatedCluster world;
+    final SimulatedCluster cluster;
     final Map<String, Map<String, Object>> bodies = new LinkedHashMap<>();
     final Set<String> cancelled = new HashSet<>();
 
     /** Whether jobs that name no shape are submitted as services instead of arrays. */
     FailureScenario(int nodes, boolean arraysAreServices) {
         this.arraysAreServices = arraysAreServices;
-        world = SimulatedCluster.settled(nodes);
+        cluster = SimulatedCluster.settled(nodes);
     }
 
     String submit(double runSeconds, Object... changes) {
@@ -40,48 +40,48 @@
             body.put("expected_s", 0.0);
         }
         boolean endless = runSeconds == FOREVER || services.contains(id);
-        world.runMicros.put(id, endless ? Long.MAX_VALUE : Math.round(runSeconds * 1e6));
+        cluster.runMicros.put(id, endless ? Long.MAX_VALUE : Math.round(runSeconds * 1e6));
         bodies.put(id, body);
         for (int i = 0; i < 120; i++) {
-            int status = world.submit(node(i), body).status();
+            int status = cluster.submit(aliveNode(i), body).status();
             if (status == 201 || status == 200) {
                 return id;
             }
-            world.clock.pass(500_000);
+            cluster.clock.pass(500_000);
         }
         throw new AssertionError(id + " was not accepted");
     }
 
     /** One machine is up, and there is no other to be had. */
-    void oneLargeMachine() {
-        world.cloud.addUnrequested("large", "a", false);
-        world.cloud.capacity = 1;
-        world.clock.passSeconds(7);
+    void limitCloudToOneLargeMachine() {
+        cluster.cloud.addUnrequested("large", "a", false);
+        cluster.cloud.capacity = 1;
+        cluster.clock.passSeconds(7);
     }
 
     /** Submits it and waits until all its tasks run. */
-    String running(double runSeconds, Object... changes) {
+    String submitAndAwaitRunning(double runSeconds, Object... changes) {
         String id = submit(runSeconds, changes);
-        for (int i = 0; i < 600 && tasksOf(id).size() < tasks(id); i++) {
-            world.clock.pass(100_000);
+        for (int i = 0; i < 600 && presentTasks(id).size() < taskCount(id); i++) {
+            cluster.clock.pass(100_000);
         }
-        assertEquals(tasks(id), tasksOf(id).size(), id + " runs");
+        assertEquals(taskCount(id), presentTasks(id).size(), id + " runs");
         return id;
     }
 
-    String node(int i) {
-        List<String> alive = world.alive();
+    String aliveNode(int i) {
+        List<String> alive = cluster.alive();
         return alive.get(i % alive.size());
     }
 
-    int tasks(String id) {
+    int taskCount(String id) {
         return ((Number) bodies.get(id).get("beads")).intValue();
     }
 
-    List<String> tasksOf(String id) {
+    List<String> presentTasks(String id) {
         List<String> here = new ArrayList<>();
-        for (int i = 0; i < tasks(id); i++) {
-            if (world.workerOf(id + "/" + i) != null) {
+        for (int i = 0; i < taskCount(id); i++) {
+            if (cluster.workerOf(id + "/" + i) != null) {
                 here.add(id + "/" + i);
             }
         }
@@ -90,18 +90,19 @@
 
     Set<String> machinesOf(String id) {
         Set<String> machines = new HashSet<>();
-        tasksOf(id).forEach(task -> machines.add(world.workerOf(task).machine().name()));
+        presentTasks(id)
+                .forEach(task -> machines.add(cluster.workerOf(task).machine().name()));
         return machines;
     }
 
     String cancel(String id) {
         for (int i = 0; i < 120; i++) {
-            SimulatedCluster.Answer answer = world.cancel(node(i), id);
+            SimulatedCluster.Answer answer = cluster.cancel(aliveNode(i), id);
             if (answer.status() == 200) {
                 cancelled.add(id);
                 return answer.state();
             }
-            world.clock.pass(300_000);
+            cluster.clock.pass(300_000);
         }
         throw new AssertionError(id + " could not be cancelled");
     }
@@ -113,67 +114,70 @@
 
     /** This node and no other is asked, once, and confirms the cancellation. */
     void cancelThrough(String node, String id) {
-        assertEquals("cancelled", world.cancel(node, id).state());
+        assertEquals("cancelled", cluster.cancel(node, id).state());
         cancelled.add(id);
     }
 
-    void eachTaskStartedOnce() {
-        assertTrue(world.starts.values().stream().allMatch(count -> count == 1), world.starts.toString());
+    void assertEachTaskStartedOnce() {
+        assertTrue(cluster.starts.values().stream().allMatch(count -> count == 1), cluster.starts.toString());
     }
 
     String killLeader() {
-        String leader = world.leader();
+        String leader = cluster.leader();
         assertNotNull(leader);
-        world.killNode(leader);
+        cluster.killNode(leader);
         return leader;
     }
 
     void awaitLeader(double seconds) {
-        for (int i = 0; i < seconds * 10 && world.leader() == null; i++) {
-            world.clock.pass(100_000);
+        for (int i = 0; i < seconds * 10 && cluster.leader() == null; i++) {
+            cluster.clock.pass(100_000);
         }
-        assertNotNull(world.leader());
+        assertNotNull(cluster.leader());
     }
 
     long fencingToken() {
-        return Json.integer(world.store.value("epoch"), "epoch", 0);
+        return Json.integer(cluster.store.value("epoch"), "epoch", 0);
     }
 
     /** All replicas that the service's team has room for run within the time. */
-    private void servesAgain(String id, double seconds) {
-        world.cloud.capacity = 100;
-        for (int i = 0; i < seconds * 10 && tasksOf(id).size() < tasks(id); i++) {
-            world.clock.pass(100_000);
+    private void awaitAllReplicas(String id, double seconds) {
+        cluster.cloud.capacity = 100;
+        for (int i = 0; i < seconds * 10 && presentTasks(id).size() < taskCount(id); i++) {
+            cluster.clock.pass(100_000);
         }
-        assertEquals(tasks(id), tasksOf(id).size(), "replicas of " + id);
+        assertEquals(taskCount(id), presentTasks(id).size(), "replicas of " + id);
     }
 
     /** Every job is over within the time, all nodes say the same of it, and nothing of it is left anywhere. */
-    void endsWell(double seconds) {
+    void assertAllJobsEnd(double seconds) {
         for (String id : services) {
             if (!cancelled.contains(id)) {
-                servesAgain(id, seconds);
+                awaitAllReplicas(id, seconds);
             }
         }
         services.stream().filter(id -> !cancelled.contains(id)).toList().forEach(this::cancel);
         for (String id : bodies.keySet()) {
             String state = cancelled.contains(id) ? "cancelled" : "done";
-            boolean over = world.reaches(node(0), id, state, seconds);
+            boolean over = cluster.reaches(aliveNode(0), id, state, seconds);
             assertTrue(
                     over
                             || cancelled.contains(id)
-                                    && "done".equals(world.poll(node(0), id).state()),
-                    id + " is " + world.poll(node(0), id) + " instead of " + state);
-            for (String node : world.alive()) {
+                                    && "done"
+                                            .equals(cluster.poll(aliveNode(0), id)
+                                                    .state()),
+                    id + " is " + cluster.poll(aliveNode(0), id) + " instead of " + state);
+            for (String node : cluster.alive()) {
                 assertEquals(
-                        world.poll(node(0), id).state(), world.poll(node, id).state());
-                assertEquals(200, world.submit(node, bodies.get(id)).status());
+                        cluster.poll(aliveNode(0), id).state(),
+                        cluster.poll(node, id).state());
+                assertEquals(200, cluster.submit(node, bodies.get(id)).status());
             }
         }
-        world.clock.passSeconds(8);
-        assertEquals(0, world.runningTasks());
+        cluster.clock.passSeconds(8);
+        assertEquals(0, cluster.runningTasks());
         for (String id : bodies.keySet()) {
-            assertNotNull(world.store.value("final/" + id), id);
+            assertNotNull(cluster.store.value("final/" + id), id);
         }
     }
 
@@ -184,8 +188,8 @@
         submit(12, "shape", "ensemble", "rank", "urgent", "beads", 3, "cpus", 4.0, "together", true);
         submit(25, "beads", 6, "together", true);
         String far = submit(20, "beads", 3);
-        world.runMicros.put(far + "/0", 2_000_000L);
-        world.runMicros.put(far + "/2", 45_000_000L);
+        cluster.runMicros.put(far + "/0", 2_000_000L);
+        cluster.runMicros.put(far + "/2", 45_000_000L);
         submit(15, "beads", 5, "apart", true);
     }
 }
--- a/src/test/java/org/weldcourse/app/IsolatedLeaderTest.java
+++ b/src/test/java/org/weldcourse/app/IsolatedLeaderTest.java
@@ -18,9 +18,9 @@
     @CsvSource({"0.1, 2, false", "1, 2, false", "1.9, 2, false", "0.9, 1, true", "3, 3.5, false", "0.01, 0.5, true"})
     void storeRefusesTheLeaderAloneAndThenEveryone(double cancelAfter, double outageAfter, boolean hangs) {
         FailureScenario scenario = scenario(3);
-        String id = scenario.running(FOREVER);
-        String other = scenario.running(FOREVER, "beads", 2);
-        SimulatedCluster world = scenario.world;
+        String id = scenario.submitAndAwaitRunning(FOREVER);
+        String other = scenario.submitAndAwaitRunning(FOREVER, "beads", 2);
+        SimulatedCluster world = scenario.cluster;
         String old = world.leader();
         world.refuseStore(old, true);
         long sinceMicros = world.clock.nowMicros();
@@ -37,7 +37,7 @@
         }
         world.clock.pass(sinceMicros + 18_000_000 - world.clock.nowMicros());
         // The old leader can't know, and keeps its workers' tasks through the outage.
-        assertEquals(4, scenario.tasksOf(id).size());
+        assertEquals(4, scenario.presentTasks(id).size());
         assertEquals(old, world.leader());
         world.clock.passSeconds(45);
         // The world would have failed, had they been there 35 s after the confirmation.
@@ -45,16 +45,16 @@
         world.store.down(false);
         world.refuseStore(old, false);
         scenario.cancel(other);
-        scenario.endsWell(60);
+        scenario.assertAllJobsEnd(60);
     }
 
     @Test
     void leaderWhoseReadsHangWhileItsLeaseIsRenewed() {
         FailureScenario scenario = scenario(3);
-        String id = scenario.running(FOREVER);
-        SimulatedCluster world = scenario.world;
+        String id = scenario.submitAndAwaitRunning(FOREVER);
+        SimulatedCluster world = scenario.cluster;
         String leader = world.leader();
-        int[] hung = hold(
+        int[] hung = delayCalls(
                 world,
                 60_000_000,
                 (from, call) -> from.equals(leader) && call.path().contains("starts=open/"));
@@ -68,14 +68,14 @@
         assertEquals(leader, world.leader(), "its lease was renewed all the time");
         assertEquals(0, world.runningTasks());
         world.network.injectFaults((from, call) -> FakeNetwork.NORMAL);
-        scenario.endsWell(60);
+        scenario.assertAllJobsEnd(60);
     }
 
     @Test
     void successorThatCanNotReadKeepsNothingAlive() {
         FailureScenario scenario = scenario(3);
-        String id = scenario.running(FOREVER);
-        SimulatedCluster world = scenario.world;
+        String id = scenario.submitAndAwaitRunning(FOREVER);
+        SimulatedCluster world = scenario.cluster;
         String old = world.leader();
         world.refuseStore(old, true);
         world.clock.pass(500_000);
@@ -84,7 +84,10 @@
         world.store.down(true);
         world.clock.passSeconds(19);
         world.store.down(false);
-        hold(world, 60_000_000, (from, call) -> !from.equals(old) && call.path().contains("store?starts=open/"));
+        delayCalls(
+                world,
+                60_000_000,
+                (from, call) -> !from.equals(old) && call.path().contains("store?starts=open/"));
         world.clock.passSeconds(8);
         assertNotEquals(old, world.leader());
         assertEquals(2, scenario.fencingToken());
@@ -93,36 +96,36 @@
         assertEquals(0, world.runningTasks());
         world.network.injectFaults((from, call) -> FakeNetwork.NORMAL);
         world.refuseStore(old, false);
-        scenario.endsWell(60);
+        scenario.assertAllJobsEnd(60);
     }
 
     @Test
     void successorHaltsWhatWasCancelledBeforeItHasReadAllRecords() {
         FailureScenario scenario = scenario(2);
-        String id = scenario.running(FOREVER);
-        String stays = scenario.running(60);
-        SimulatedCluster world = scenario.world;
+        String id = scenario.submitAndAwaitRunning(FOREVER);
+        String stays = scenario.submitAndAwaitRunning(60);
+        SimulatedCluster world = scenario.cluster;
         world.clock.passSeconds(2);
         scenario.killLeader();
         assertEquals("cancelled", scenario.cancel(id));
-        int[] hung = hold(world, 60_000_000, (from, call) -> call.path().contains("starts=slices/"));
+        int[] hung = delayCalls(world, 60_000_000, (from, call) -> call.path().contains("starts=slices/"));
         scenario.awaitLeader(10);
         world.clock.passSeconds(4);
         assertTrue(hung[0] > 0);
-        assertEquals(0, scenario.tasksOf(id).size());
+        assertEquals(0, scenario.presentTasks(id).size());
         // Nobody knows yet what else should run where, and it goes on.
-        assertEquals(4, scenario.tasksOf(stays).size());
+        assertEquals(4, scenario.presentTasks(stays).size());
         world.network.injectFaults((from, call) -> FakeNetwork.NORMAL);
-        scenario.endsWell(90);
-        scenario.eachTaskStartedOnce();
+        scenario.assertAllJobsEnd(90);
+        scenario.assertEachTaskStartedOnce();
     }
 
     @Test
     void leaderCutFromStoreAndPeersButNotFromWorkersAndUsers() {
         FailureScenario scenario = scenario(3);
-        String id = scenario.running(FOREVER);
-        String stays = scenario.running(70);
-        SimulatedCluster world = scenario.world;
+        String id = scenario.submitAndAwaitRunning(FOREVER);
+        String stays = scenario.submitAndAwaitRunning(70);
+        SimulatedCluster world = scenario.cluster;
         String old = world.leader();
         world.cutFromStore(old);
         world.cutFromPeers(old);
@@ -135,19 +138,19 @@
         scenario.cancelThrough(successor, id);
         assertNotEquals(200, world.poll(old, id).status());
         world.clock.passSeconds(30);
-        assertEquals(4, scenario.tasksOf(stays).size());
+        assertEquals(4, scenario.presentTasks(stays).size());
         assertEquals(1, world.starts.get(stays + "/0"));
         world.healToStore(old);
         world.healToPeers(old);
-        scenario.endsWell(90);
+        scenario.assertAllJobsEnd(90);
     }
 
     @ParameterizedTest
     @ValueSource(doubles = {1.6, 2.5, 6})
     void leaderRefusedByTheStoreStartsNothing(double healsAfter) {
         FailureScenario scenario = scenario(3);
-        SimulatedCluster world = scenario.world;
-        scenario.oneLargeMachine();
+        SimulatedCluster world = scenario.cluster;
+        scenario.limitCloudToOneLargeMachine();
         String machine = world.workers.keySet().iterator().next();
         // What is admitted on it waits for its next report.
         world.workers.get(machine).freeze(true);
@@ -168,7 +171,7 @@
         assertEquals(0, world.startsAfterCancellation());
         world.store.down(false);
         world.refuseStore(old, false);
-        scenario.endsWell(60);
+        scenario.assertAllJobsEnd(60);
         assertEquals(0, world.startsAfterCancellation());
     }
 }
--- a/src/test/java/org/weldcourse/app/LateWritesTest.java
+++ b/src/test/java/org/weldcourse/app/LateWritesTest.java
@@ -20,7 +20,7 @@
     @CsvSource({"false, 1", "false, 2", "false, 3", "true, 1", "true, 2", "true, 3"})
     void commitsWithoutAnAnswer(boolean atOnce, int seed) {
         FailureScenario scenario = scenario(3);
-        SimulatedCluster world = scenario.world;
+        SimulatedCluster world = scenario.cluster;
         Random random = new Random(seed);
         int[] lost = new int[1];
         world.network.injectFaults((from, call) -> {
@@ -50,14 +50,14 @@
         world.clock.passSeconds(20);
         world.network.injectFaults((from, call) -> FakeNetwork.NORMAL);
         world.clock.passSeconds(13);
-        scenario.endsWell(240);
+        scenario.assertAllJobsEnd(240);
     }
 
     @Test
     void lateAdmissionOfADeadLeaderIsFenced() {
         FailureScenario scenario = scenario(2);
-        SimulatedCluster world = scenario.world;
-        scenario.oneLargeMachine();
+        SimulatedCluster world = scenario.cluster;
+        scenario.limitCloudToOneLargeMachine();
         int[] late = new int[1];
         world.network.injectFaults(
                 (from, call) -> isAdmission(call) && late[0]++ == 0 ? 9_000_000 : FakeNetwork.NORMAL);
@@ -70,30 +70,31 @@
         world.clock.passSeconds(5);
         assertEquals(List.of(), world.store.keys("slices/"));
         world.cloud.capacity = 100;
-        scenario.endsWell(120);
+        scenario.assertAllJobsEnd(120);
     }
 
     @Test
     void lateCommitDoesNotOverwriteANewerOne() {
         FailureScenario scenario = scenario(2);
-        SimulatedCluster world = scenario.world;
-        scenario.oneLargeMachine();
+        SimulatedCluster world = scenario.cluster;
+        scenario.limitCloudToOneLargeMachine();
         int[] late = new int[1];
         world.network.injectFaults(
                 (from, call) -> isAdmission(call) && late[0]++ == 0 ? 12_000_000 : FakeNetwork.NORMAL);
         String id = scenario.submit(40, "beads", 12);
         world.clock.passSeconds(3);
-        assertEquals(8, scenario.tasksOf(id).size());
+        assertEquals(8, scenario.presentTasks(id).size());
         world.cloud.capacity = 2;
         world.cloud.addUnrequested("large", "a", false);
         world.clock.passSeconds(7);
-        assertEquals(12, scenario.tasksOf(id).size(), "a second admission is on record before the first comes late");
+        assertEquals(
+                12, scenario.presentTasks(id).size(), "a second admission is on record before the first comes late");
         assertTrue(late[0] >= 3);
         world.clock.passSeconds(4);
         scenario.killLeader();
         scenario.awaitLeader(8);
-        scenario.endsWell(120);
-        scenario.eachTaskStartedOnce();
+        scenario.assertAllJobsEnd(120);
+        scenario.assertEachTaskStartedOnce();
     }
 
     @Test
@@ -103,11 +104,11 @@
         // The first day tells when the job is closed; on the others, all alike, its user cancels around that moment.
         for (long offsetMicros = -6_500; offsetMicros <= 5_000; offsetMicros += 500) {
             FailureScenario scenario = scenario(2);
-            SimulatedCluster world = scenario.world;
-            String id = scenario.running(8, "beads", 1);
+            SimulatedCluster world = scenario.cluster;
+            String id = scenario.submitAndAwaitRunning(8, "beads", 1);
             if (closedMicros[0] == 0) {
                 world.network.injectFaults((from, call) -> {
-                    closedMicros[0] = commits(call, "final/") ? world.clock.nowMicros() : closedMicros[0];
+                    closedMicros[0] = isCommitTo(call, "final/") ? world.clock.nowMicros() : closedMicros[0];
                     return FakeNetwork.NORMAL;
                 });
                 world.clock.passSeconds(15);
@@ -125,7 +126,7 @@
             world.alive().forEach(node -> world.pollSoon(node, id));
             assertEquals(
                     answer.state(), world.submit("n1", scenario.bodies.get(id)).state());
-            scenario.endsWell(30);
+            scenario.assertAllJobsEnd(30);
         }
         assertEquals(Set.of("done", "cancelled"), states);
     }
@@ -145,17 +146,18 @@
     @Test
     void everyNodeIsPolledWithinMillisecondsOfAChange() {
         FailureScenario scenario = scenario(3);
-        SimulatedCluster world = scenario.world;
+        SimulatedCluster world = scenario.cluster;
         int asked = 0;
         for (int i = 0; i < 8; i++) {
             String id = scenario.submit(3, "beads", 1);
             asked += pollAllWithinMilliseconds(world, id);
             assertEquals(
-                    200, world.submit(scenario.node(i), scenario.bodies.get(id)).status());
+                    200,
+                    world.submit(scenario.aliveNode(i), scenario.bodies.get(id)).status());
             if (i % 2 == 0) {
                 scenario.cancel(id);
             } else {
-                assertTrue(world.reaches(scenario.node(i), id, "done", 60));
+                assertTrue(world.reaches(scenario.aliveNode(i), id, "done", 60));
             }
             asked += pollAllWithinMilliseconds(world, id);
             world.alive()
@@ -164,13 +166,13 @@
         }
         world.clock.passSeconds(3);
         assertEquals(asked, world.answers());
-        scenario.endsWell(30);
+        scenario.assertAllJobsEnd(30);
     }
 
     @Test
     void oneTaskJobsFourASecondAQuarterOfThemCancelled() {
         FailureScenario scenario = scenario(3);
-        SimulatedCluster world = scenario.world;
+        SimulatedCluster world = scenario.cluster;
         int before = world.store.writes();
         int requests = world.store.requests();
         String refused = null;
@@ -198,7 +200,7 @@
         assertEquals(List.of(), world.store.keys("open/"));
         assertEquals(List.of(), world.store.keys("slices/"));
         before = world.store.writes();
-        scenario.endsWell(10);
+        scenario.assertAllJobsEnd(10);
         // The record of the machine types is renewed now and then.
         assertTrue(world.store.writes() - before <= 2, "repeated submissions of what is known cost no changes");
     }
@@ -206,7 +208,7 @@
     @Test
     void overloadWithPreemptionOverSlowLinks() {
         FailureScenario scenario = scenario(3);
-        SimulatedCluster world = scenario.world;
+        SimulatedCluster world = scenario.cluster;
         world.cloud.capacity = 2;
         world.slowStore(350_000);
         for (int i = 0; i < 6; i++) {
@@ -221,7 +223,7 @@
         scenario.killLeader();
         scenario.awaitLeader(12);
         world.slowStore(0);
-        scenario.endsWell(400);
+        scenario.assertAllJobsEnd(400);
         assertTrue(world.starts.get(urgent + "/0") <= 2);
     }
 }
--- a/src/test/java/org/weldcourse/app/LoweredStoreLimitsTest.java
+++ b/src/test/java/org/weldcourse/app/LoweredStoreLimitsTest.java
@@ -2,8 +2,8 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static org.weldcourse.app.EarlierRecords.finishedAsProductionReads;
-import static org.weldcourse.app.EarlierRecords.plantOpen;
+import static org.weldcourse.app.EarlierRecords.finishedTasksAsReadByProduction;
+import static org.weldcourse.app.EarlierRecords.storeOpenJob;
 import static org.weldcourse.app.EarlierRecords.upgradingCluster;
 import static org.weldcourse.simulation.JobBodies.jobBody;
 
@@ -126,7 +126,7 @@
         SimulatedCluster world = upgradingCluster(4096, 8, new Settings.UpcomingStoreLimits(50, 1024, 4));
         Map<String, Object> body = jobBody("req-000001", "beads", 800, "cpus", 0.1, "mem_gb", 0.1);
         world.adopt(body, new BitSet());
-        plantOpen(world, body);
+        storeOpenJob(world, body);
         for (int i = 0; i < 2; i++) {
             world.cloud.addUnrequested("large", "a", false);
         }
@@ -155,7 +155,7 @@
             world.runMicros.put("req-000001/" + task, task % 10 == 0 ? 2_000_000L : 40_000_000L);
         }
         world.clock.passSeconds(25);
-        BitSet read = finishedAsProductionReads(world, "req-000001", 800, 4096);
+        BitSet read = finishedTasksAsReadByProduction(world, "req-000001", 800, 4096);
         assertTrue(read.cardinality() >= 40, "what is finished is on record: " + read.cardinality());
         world.killNode(world.leader());
         assertTrue(world.reaches(world.alive().get(0), "req-000001", "done", 300));
@@ -168,7 +168,7 @@
         world.clock.passSeconds(2);
         Map<String, Object> wide = jobBody("req-000001", "blank", "i".repeat(2_000));
         assertEquals(422, world.submit("n0", wide).status());
-        plantOpen(world, wide);
+        storeOpenJob(world, wide);
         world.store.limit(4, 1024);
         assertEquals(200, world.submit("n1", wide).status());
         assertEquals("cancelled", world.cancel("n1", "req-000001").state(), "it can be cancelled all the same");
--- a/src/test/java/org/weldcourse/app/RepeatedFailoverTest.java
+++ b/src/test/java/org/weldcourse/app/RepeatedFailoverTest.java
@@ -21,7 +21,7 @@
     @ValueSource(doubles = {0.1, 0.7, 1.5, 3, 7, 9, 12})
     void tasksThatEndFarApartAcrossAFailover(double endsAfter) {
         FailureScenario scenario = scenario(2);
-        SimulatedCluster world = scenario.world;
+        SimulatedCluster world = scenario.cluster;
         // One finished task stays listed, to prompt a heartbeat with: it takes two for one to be forgotten too soon.
         String id = scenario.submit(25, "beads", 4);
         world.runMicros.put(id + "/0", 2_000_000L);
@@ -30,18 +30,18 @@
         for (int i = 0; i < 600 && (!world.starts.containsKey(id + "/0") || world.workerOf(id + "/0") != null); i++) {
             world.clock.pass(50_000);
         }
-        assertEquals(2, scenario.tasksOf(id).size(), "the first have ended");
+        assertEquals(2, scenario.presentTasks(id).size(), "the first have ended");
         world.clock.passSeconds(endsAfter);
         scenario.killLeader();
         scenario.awaitLeader(8);
-        scenario.endsWell(120);
-        scenario.eachTaskStartedOnce();
+        scenario.assertAllJobsEnd(120);
+        scenario.assertEachTaskStartedOnce();
     }
 
     @Test
     void machinesUpAtOnceGetWorkWhileWritesLagAndTheLeaderEnds() {
         FailureScenario scenario = scenario(3);
-        SimulatedCluster world = scenario.world;
+        SimulatedCluster world = scenario.cluster;
         world.cloud.bootMicros = 1_200_000;
         for (int round = 0; round < 4; round++) {
             int[] late = new int[1];
@@ -60,7 +60,7 @@
             world.startNode(ended);
             scenario.awaitLeader(10);
         }
-        scenario.endsWell(180);
+        scenario.assertAllJobsEnd(180);
         assertEquals(5, scenario.fencingToken());
     }
 
@@ -68,8 +68,8 @@
     @ValueSource(ints = {0, 5, 10, 15, 20, 25, 30, 35, 40, 45, 50, 55, 60})
     void jobsAreCancelledInTheSecondsOfAFailover(int tenths) {
         FailureScenario scenario = scenario(3);
-        SimulatedCluster world = scenario.world;
-        String runs = scenario.running(FOREVER);
+        SimulatedCluster world = scenario.cluster;
+        String runs = scenario.submitAndAwaitRunning(FOREVER);
         String starts = scenario.submit(FOREVER, "beads", 2);
         String waits = scenario.submit(FOREVER, "yard", "b", "rigs", List.of("large"));
         scenario.killLeader();
@@ -81,13 +81,13 @@
         world.clock.passSeconds(4);
         assertEquals(0, world.runningTasks(), "cancelled " + tenths + " tenths after the leader's end");
         assertEquals(0, world.startsAfterCancellation());
-        scenario.endsWell(30);
+        scenario.assertAllJobsEnd(30);
     }
 
     @Test
     void tenLeadersInTwoMinutesWithAnOutageAmongThem() {
         FailureScenario scenario = scenario(3);
-        SimulatedCluster world = scenario.world;
+        SimulatedCluster world = scenario.cluster;
         scenario.submitMixedWork();
         for (int round = 0; round < 10; round++) {
             if (round == 4) {
@@ -120,13 +120,13 @@
             }
         }
         assertTrue(scenario.fencingToken() >= 9, "leaders: " + scenario.fencingToken());
-        scenario.endsWell(240);
+        scenario.assertAllJobsEnd(240);
     }
 
     @Test
     void allControllersAreAwayForLongerThanALease() {
         FailureScenario scenario = scenario(3);
-        SimulatedCluster world = scenario.world;
+        SimulatedCluster world = scenario.cluster;
         scenario.submitMixedWork();
         world.clock.passSeconds(8);
         int running = world.runningTasks();
@@ -135,15 +135,15 @@
         world.clock.passSeconds(14);
         assertEquals(0, world.runningTasks(), "their leases ended");
         world.nodes().forEach(world::startNode);
-        scenario.endsWell(240);
+        scenario.assertAllJobsEnd(240);
     }
 
     @Test
     void zoneWithWorkersAndTheLeaderIsCutOffForLongerThanALease() {
         FailureScenario scenario = scenario(3);
-        SimulatedCluster world = scenario.world;
+        SimulatedCluster world = scenario.cluster;
         scenario.submitMixedWork();
-        String cancelled = scenario.running(FOREVER);
+        String cancelled = scenario.submitAndAwaitRunning(FOREVER);
         world.clock.passSeconds(5);
         String old = world.leader();
         Set<String> inside = new HashSet<>();
@@ -172,6 +172,6 @@
         });
         world.healToStore(old);
         world.healToPeers(old);
-        scenario.endsWell(240);
+        scenario.assertAllJobsEnd(240);
     }
 }
--- a/src/test/java/org/weldcourse/app/UnreachableMachinesTest.java
+++ b/src/test/java/org/weldcourse/app/UnreachableMachinesTest.java
@@ -22,8 +22,8 @@
     @ValueSource(strings = {"cut", "mute", "deaf", "hung"})
     void failoverWhileMachinesWithLongTasksAreUnreachable(String trouble) {
         FailureScenario scenario = scenario(3);
-        String id = scenario.running(45);
-        SimulatedCluster world = scenario.world;
+        String id = scenario.submitAndAwaitRunning(45);
+        SimulatedCluster world = scenario.cluster;
         Set<String> machines = scenario.machinesOf(id);
         machines.forEach(machine -> trouble(world, machine, trouble));
         scenario.killLeader();
@@ -32,10 +32,10 @@
         for (String machine : machines) {
             assertEquals(1, world.workers.get(machine).fencingToken(), "it has not heard of the new leader");
         }
-        assertEquals(4, scenario.tasksOf(id).size());
+        assertEquals(4, scenario.presentTasks(id).size());
         world.clock.passSeconds(14);
         assertTrue(world.cloud.released.containsAll(machines));
-        scenario.endsWell(150);
+        scenario.assertAllJobsEnd(150);
         assertTrue(world.starts.values().stream().allMatch(count -> count <= 2), world.starts.toString());
     }
 
@@ -54,22 +54,22 @@
     @Test
     void directOrdersHaltTasksOfWorkersThatReachNoController() {
         FailureScenario scenario = scenario(2);
-        String id = scenario.running(FOREVER);
-        SimulatedCluster world = scenario.world;
+        String id = scenario.submitAndAwaitRunning(FOREVER);
+        SimulatedCluster world = scenario.cluster;
         scenario.machinesOf(id).forEach(world::mute);
         world.clock.pass(200_000);
         assertEquals("cancelled", scenario.cancel(id));
         world.clock.passSeconds(2);
         assertEquals(0, world.runningTasks(), "long before their leases end");
-        scenario.endsWell(60);
+        scenario.assertAllJobsEnd(60);
     }
 
     @Test
     void machineToBeReleasedDuringACloudOutageHaltsCancelledTasks() {
         FailureScenario scenario = scenario(1);
-        String cancelled = scenario.running(FOREVER, "beads", 1);
-        String finishes = scenario.running(40, "shape", "array", "beads", 1);
-        SimulatedCluster world = scenario.world;
+        String cancelled = scenario.submitAndAwaitRunning(FOREVER, "beads", 1);
+        String finishes = scenario.submitAndAwaitRunning(40, "shape", "array", "beads", 1);
+        SimulatedCluster world = scenario.cluster;
         world.cloud.down(true);
         String machine = scenario.machinesOf(cancelled).iterator().next();
         FakeWorker worker = world.workers.get(machine);
@@ -80,22 +80,22 @@
         int refused = world.cloud.refused();
         world.clock.passSeconds(3);
         assertTrue(refused > 0);
-        assertEquals(1, scenario.tasksOf(cancelled).size());
+        assertEquals(1, scenario.presentTasks(cancelled).size());
         assertEquals("cancelled", scenario.cancel(cancelled));
         world.clock.passSeconds(4);
-        assertEquals(0, scenario.tasksOf(cancelled).size());
+        assertEquals(0, scenario.presentTasks(cancelled).size());
         assertTrue(world.reaches("n0", finishes, "done", 60), "what ends there counts");
         assertFalse(world.cloud.released.contains(machine));
         world.cloud.down(false);
-        scenario.endsWell(60);
-        scenario.eachTaskStartedOnce();
+        scenario.assertAllJobsEnd(60);
+        scenario.assertEachTaskStartedOnce();
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"cut", "mute", "deaf", "hung"})
     void noQuotaIsGrantedTwiceWhileCancelledTasksMayBeThere(String trouble) {
         FailureScenario scenario = scenario(3);
-        SimulatedCluster world = scenario.world;
+        SimulatedCluster world = scenario.cluster;
         world.cloud.addUnrequested("large", "a", false);
         world.cloud.addUnrequested("large", "b", false);
         if (arraysAreServices()) {
@@ -104,7 +104,7 @@
         }
         world.clock.passSeconds(7);
         // The team's limit is 8 CPUs: four tasks.
-        String first = scenario.running(FOREVER, "crew", "capped");
+        String first = scenario.submitAndAwaitRunning(FOREVER, "crew", "capped");
         Set<String> machines = scenario.machinesOf(first);
         assertEquals(world.workers.size() - 1, machines.size(), "there is room on the other machine");
         machines.forEach(machine -> trouble(world, machine, trouble));
@@ -114,7 +114,7 @@
         String second = scenario.submit(20, "crew", "capped");
         scenario.awaitLeader(10);
         world.clock.passSeconds(2);
-        assertEquals(4, scenario.tasksOf(first).size(), "they were cancelled and are there still");
+        assertEquals(4, scenario.presentTasks(first).size(), "they were cancelled and are there still");
         // Reports from before the tasks came are no evidence that they are gone.
         world.workers.values().forEach(worker -> new ArrayList<>(worker.heartbeats())
                 .stream()
@@ -123,8 +123,8 @@
         String ended = scenario.killLeader();
         scenario.awaitLeader(10);
         world.startNode(ended);
-        assertEquals(0, scenario.tasksOf(second).size());
-        assertEquals("queued", world.poll(scenario.node(0), second).state());
+        assertEquals(0, scenario.presentTasks(second).size());
+        assertEquals("queued", world.poll(scenario.aliveNode(0), second).state());
         world.clock.passSeconds(25);
         assertFalse(world.starts.containsKey(second + "/0"), "nobody has said that the first are gone");
         world.cloud.down(false);
@@ -135,18 +135,18 @@
                 world.heal(machine);
             }
         });
-        scenario.endsWell(120);
+        scenario.assertAllJobsEnd(120);
     }
 
     @Test
     void arraysInOneZoneStayInItWhenTheyLoseMachines() {
         FailureScenario scenario = scenario(1);
-        SimulatedCluster world = scenario.world;
-        scenario.oneLargeMachine();
+        SimulatedCluster world = scenario.cluster;
+        scenario.limitCloudToOneLargeMachine();
         String id = scenario.submit(40, "beads", 14, "cpus", 2.0, "together", true, "rigs", List.of("large"));
         scenario.submit(40, "beads", 2, "cpus", 2.0, "yard", "a");
         world.clock.passSeconds(6);
-        assertTrue(scenario.tasksOf(id).size() >= 4);
+        assertTrue(scenario.presentTasks(id).size() >= 4);
         // There is room in the other zone alone, and part of the tasks can't be asked for a while.
         for (int i = 0; i < 3; i++) {
             world.cloud.addUnrequested("large", "b", false);
@@ -157,10 +157,10 @@
         world.workers.get(lost).freeze(true);
         world.cloud.down(true);
         world.clock.passSeconds(20);
-        assertTrue(scenario.tasksOf(id).size() >= 4, "they are there as long as nobody says otherwise");
+        assertTrue(scenario.presentTasks(id).size() >= 4, "they are there as long as nobody says otherwise");
         world.cloud.down(false);
         world.cloud.capacity = 8;
-        scenario.endsWell(300);
+        scenario.assertAllJobsEnd(300);
         assertTrue(world.starts.values().stream().anyMatch(count -> count > 1), "some were lost");
     }
 
@@ -168,19 +168,19 @@
     @ValueSource(longs = {300_000, 2_500_000, 9_000_000})
     void ordersDelayedForSecondsChangeNothingThatIsSettled(long heldMicros) {
         FailureScenario scenario = scenario(2);
-        SimulatedCluster world = scenario.world;
-        int[] held = hold(world, heldMicros, (from, call) -> call.path().equals("/orders"));
+        SimulatedCluster world = scenario.cluster;
+        int[] held = delayCalls(world, heldMicros, (from, call) -> call.path().equals("/orders"));
         world.cloud.addUnrequested("large", "a", false);
         world.cloud.capacity = 1;
         world.clock.passSeconds(6);
-        String low = scenario.running(20, "rank", "idle", "beads", 8);
+        String low = scenario.submitAndAwaitRunning(20, "rank", "idle", "beads", 8);
         for (int i = 0; i < 6; i++) {
             scenario.submit(3, "rank", "urgent", "shape", "ensemble", "beads", 1, "cpus", 14.0);
             world.clock.passSeconds(7);
         }
         assertEquals("cancelled", scenario.cancel(low));
         assertTrue(held[0] > 0);
-        scenario.endsWell(120);
+        scenario.assertAllJobsEnd(120);
         assertEquals(0, world.startsAfterCancellation());
     }
 
@@ -188,10 +188,10 @@
     @ValueSource(booleans = {false, true})
     void staleHeartbeatsReachEveryControllerAroundAFailover(boolean sessionsEnd) {
         FailureScenario scenario = scenario(3);
-        SimulatedCluster world = scenario.world;
+        SimulatedCluster world = scenario.cluster;
         String ends = scenario.submit(4, "shape", "array");
         assertTrue(world.reaches("n0", ends, "done", 60));
-        String runs = scenario.running(40);
+        String runs = scenario.submitAndAwaitRunning(40);
         FakeWorker worker = world.workerOf(runs + "/0");
         if (sessionsEnd) {
             // From an earlier session too: the tasks were lost with it and run again.
@@ -215,11 +215,11 @@
         assertTrue(taught > 0, "some came to the new leader");
         assertEquals(2, scenario.fencingToken());
         // And once more, held back until the new leader has acted.
-        String after = scenario.running(10);
+        String after = scenario.submitAndAwaitRunning(10);
         for (Map<String, Object> copy : copies) {
             world.ask(world.leader(), "POST", "/checkin", Json.bytes(copy));
         }
-        scenario.endsWell(120);
+        scenario.assertAllJobsEnd(120);
         int most = sessionsEnd ? 2 : 1;
         assertTrue(world.starts.values().stream().allMatch(count -> count <= most), world.starts.toString());
         assertEquals(1, world.starts.get(ends + "/0"));
@@ -229,19 +229,19 @@
     @Test
     void duplicateHeartbeatsUnderTheSameLeaderChangeNothing() {
         FailureScenario scenario = scenario(1);
-        SimulatedCluster world = scenario.world;
-        scenario.oneLargeMachine();
-        String first = scenario.running(3, "beads", 1);
+        SimulatedCluster world = scenario.cluster;
+        scenario.limitCloudToOneLargeMachine();
+        String first = scenario.submitAndAwaitRunning(3, "beads", 1);
         world.clock.passSeconds(4);
         FakeWorker worker = world.workers.values().iterator().next();
         List<Map<String, Object>> copies = new ArrayList<>(worker.heartbeats());
-        String second = scenario.running(30, "beads", 3);
+        String second = scenario.submitAndAwaitRunning(30, "beads", 3);
         // Of a time when the machine was empty, or ran what is done by now.
         for (Map<String, Object> copy : copies) {
             world.ask("n0", "POST", "/checkin", Json.bytes(copy));
             world.clock.pass(40_000);
         }
-        scenario.endsWell(90);
+        scenario.assertAllJobsEnd(90);
         assertEquals(1, world.starts.get(first + "/0"));
         assertEquals(1, world.starts.get(second + "/0"));
     }
--- a/src/test/java/org/weldcourse/app/UpgradeTest.java
+++ b/src/test/java/org/weldcourse/app/UpgradeTest.java
@@ -3,12 +3,12 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static org.weldcourse.app.EarlierRecords.finishedAsProductionReads;
-import static org.weldcourse.app.EarlierRecords.finishedIn;
-import static org.weldcourse.app.EarlierRecords.fixture;
-import static org.weldcourse.app.EarlierRecords.plant;
-import static org.weldcourse.app.EarlierRecords.plantOpen;
-import static org.weldcourse.app.EarlierRecords.production;
+import static org.weldcourse.app.EarlierRecords.finishedTasksAsReadByProduction;
+import static org.weldcourse.app.EarlierRecords.finishedTasksIn;
+import static org.weldcourse.app.EarlierRecords.loadFixture;
+import static org.weldcourse.app.EarlierRecords.productionRecords;
+import static org.weldcourse.app.EarlierRecords.storeOpenJob;
+import static org.weldcourse.app.EarlierRecords.storeRecords;
 import static org.weldcourse.app.EarlierRecords.upgradingCluster;
 import static org.weldcourse.simulation.JobBodies.jobBody;
 
@@ -38,7 +38,7 @@
     @ValueSource(booleans = {false, true})
     void productionsRecordsAreTakenOver(boolean limitsLowered) throws Exception {
         SimulatedCluster world = upgradingCluster(4096, 8, new Settings.UpcomingStoreLimits(50, 2048, 4));
-        Map<String, Object> records = production();
+        Map<String, Object> records = productionRecords();
         BitSet small = BitSet.valueOf(Base64.getDecoder()
                 .decode((String) Json.object(records.get("slices/req-000001/0")).get("bits")));
         BitSet large = BitSet.valueOf(Base64.getDecoder()
@@ -47,7 +47,7 @@
         assertTrue(large.cardinality() > 1000);
         world.adopt(Json.object(records.get("open/req-000001")), small);
         world.adopt(Json.object(records.get("open/req-000002")), large);
-        plant(world, records);
+        storeRecords(world, records);
         if (limitsLowered) {
             world.store.limit(4, 2048);
         }
@@ -82,10 +82,10 @@
     @ValueSource(booleans = {false, true})
     void recordsOfTheFirstVersionWithServicesAreTakenOver(boolean leaderEnds) throws Exception {
         SimulatedCluster world = upgradingCluster(4096, 8, new Settings.UpcomingStoreLimits(50, 2048, 4));
-        Map<String, Object> records = fixture("/version-0.2.0/records.json");
+        Map<String, Object> records = loadFixture("/version-0.2.0/records.json");
         Map<String, BitSet> finished = new TreeMap<>();
         for (String id : List.of("req-000001", "req-000002", "req-000005", "req-000006")) {
-            finished.put(id, finishedIn(records, id));
+            finished.put(id, finishedTasksIn(records, id));
             world.adopt(Json.object(records.get("open/" + id)), finished.get(id));
             world.runMicros.put(id, 3_000_000L);
         }
@@ -93,7 +93,7 @@
                 List.of(1, 6500, 0, 600),
                 finished.values().stream().map(BitSet::cardinality).toList());
         world.runMicros.put("req-000005", Long.MAX_VALUE);
-        plant(world, records);
+        storeRecords(world, records);
         world.cloud.numberMachinesFrom(100);
         world.store.limit(4, 2048);
         world.clock.passSeconds(leaderEnds ? 25 : 40);
@@ -137,7 +137,7 @@
         world.clock.passSeconds(45);
         assertTrue(
                 world.store.keys("done/").size() > 1, world.store.keys("done/").toString());
-        BitSet read = finishedAsProductionReads(world, "req-000001", tasks, 1024);
+        BitSet read = finishedTasksAsReadByProduction(world, "req-000001", tasks, 1024);
         for (int task = read.nextSetBit(0); task >= 0; task = read.nextSetBit(task + 1)) {
             assertTrue(world.hasCompleted("req-000001/" + task), "task " + task);
         }
@@ -160,7 +160,7 @@
         BitSet finished = new BitSet();
         finished.set(0, 700);
         world.adopt(body, finished);
-        plantOpen(world, body);
+        storeOpenJob(world, body);
         world.store.plant(
                 "slices/req-000001/0",
                 Json.of(
@@ -180,7 +180,7 @@
         world.clock.passSeconds(leaderEndsAfter);
         world.killNode(world.nodes().get(0));
         world.clock.passSeconds(20);
-        BitSet onRecord = finishedAsProductionReads(world, "req-000001", tasks, 4096);
+        BitSet onRecord = finishedTasksAsReadByProduction(world, "req-000001", tasks, 4096);
         onRecord.and(finished);
         assertEquals(700, onRecord.cardinality(), "nothing finished is lost from the records");
         assertTrue(world.reaches("n1", "req-000001", "done", 300));
@@ -202,14 +202,14 @@
         world.submit("n0", jobBody("req-000001", "beads", tasks, "cpus", 0.04, "mem_gb", 0.02));
         world.clock.passSeconds(30);
         assertEquals(List.of("done/req-000001/0"), world.store.keys("done/"));
-        BitSet read = finishedAsProductionReads(world, "req-000001", tasks, 4096);
+        BitSet read = finishedTasksAsReadByProduction(world, "req-000001", tasks, 4096);
         assertTrue(read.cardinality() > 300, "finished as production reads: " + read.cardinality());
         read.stream().forEach(task -> assertTrue(world.hasCompleted("req-000001/" + task), "task " + task));
     }
 
     @Test
     void framesAreThoseOfProduction() throws Exception {
-        String hex = Json.text(Json.object(production().get("frame")), "hex");
+        String hex = Json.text(Json.object(productionRecords().get("frame")), "hex");
         PeerStatus status = new PeerStatus("forge-0", 41, true, false, true);
         assertEquals(status, PeerStatus.decode(ByteBuffer.wrap(HexFormat.of().parseHex(hex))));
         ByteBuffer ours = status.encode();
