--- a/src/main/java/org/weldcourse/admission/AdmissionQueues.java
+++ b/src/main/java/org/weldcourse/admission/AdmissionQueues.java
@@ -10,11 +10,12 @@
 import org.weldcourse.cluster.Snapshot.JobView;
 
 /**
- * The jobs that wait, in a queue for each team. The heads of the queues are weighed: priority first, then teams within their
- * guarantee before teams that borrow, then the order among equals. What a team uses may change from one head to the next.
+ * The waiting jobs, in a queue per team. The next job is the best of the queue heads: by priority, then teams within
+ * their guarantee before teams that borrow, then by urgency. The heads are compared anew each time, because admissions
+ * change the teams' usage.
  */
 final class AdmissionQueues {
-    /** A class's largest jobs must start within four minutes; from here on they come before their equals. */
+    /** The largest jobs of a class must start within 4 minutes, so they become overdue earlier than the others. */
     private static final long LARGE_OVERDUE_MICROS = 120_000_000;
 
     private static final long OVERDUE_MICROS = 180_000_000;
@@ -22,9 +23,9 @@
     private static final int CAN_MEET_SLO = 1;
     private static final int MISSED_SLO = Integer.MAX_VALUE;
 
-    private final Map<String, ArrayDeque<Queued>> queues = new LinkedHashMap<>();
-    /** The tasks of each class's largest job that waits. */
-    private final Map<String, Integer> largest = new HashMap<>();
+    private final Map<String, ArrayDeque<QueuedJob>> queues = new LinkedHashMap<>();
+    /** The number of tasks of the largest waiting job, by job class. */
+    private final Map<String, Integer> maxTasksByClass = new HashMap<>();
 
     private final Map<String, TeamUsage> usages;
     private final long nowMicros;
@@ -33,14 +34,15 @@
         this.usages = usages;
         this.nowMicros = nowMicros;
         for (JobView job : jobs) {
-            largest.merge(job.spec().jobClass(), job.spec().tasks(), Math::max);
+            maxTasksByClass.merge(job.spec().jobClass(), job.spec().tasks(), Math::max);
         }
-        List<Queued> ordered = new ArrayList<>(jobs.size());
-        jobs.forEach(job -> ordered.add(new Queued(job, urgency(job), job.remainingWorkLog2())));
-        ordered.sort(Comparator.comparing((Queued queued) -> queued.job.spec().priority())
-                .thenComparing(Queued::compareUrgency)
-                .thenComparing(queued -> queued.job.spec().id()));
-        for (Queued queued : ordered) {
+        List<QueuedJob> ordered = new ArrayList<>(jobs.size());
+        jobs.forEach(job -> ordered.add(new QueuedJob(job, urgency(job), job.remainingWorkLog2())));
+        ordered.sort(
+                Comparator.comparing((QueuedJob queued) -> queued.job.spec().priority())
+                        .thenComparing(QueuedJob::compareUrgency)
+                        .thenComparing(queued -> queued.job.spec().id()));
+        for (QueuedJob queued : ordered) {
             queues.computeIfAbsent(queued.job.spec().team(), team -> new ArrayDeque<>())
                     .add(queued);
         }
@@ -50,11 +52,11 @@
         return queues.isEmpty();
     }
 
-    /** Takes out the job that is to be admitted next. */
+    /** Removes and returns the job that is to be admitted next. */
     JobView removeHead() {
         JobView head = bestHead().job;
         String team = head.spec().team();
-        ArrayDeque<Queued> queue = queues.get(team);
+        ArrayDeque<QueuedJob> queue = queues.get(team);
         queue.remove();
         if (queue.isEmpty()) {
             queues.remove(team);
@@ -62,18 +64,18 @@
         return head;
     }
 
-    private Queued bestHead() {
-        Queued best = null;
-        for (ArrayDeque<Queued> queue : queues.values()) {
-            Queued head = queue.element();
-            if (best == null || before(head, best)) {
+    private QueuedJob bestHead() {
+        QueuedJob best = null;
+        for (ArrayDeque<QueuedJob> queue : queues.values()) {
+            QueuedJob head = queue.element();
+            if (best == null || precedes(head, best)) {
                 best = head;
             }
         }
         return best;
     }
 
-    private boolean before(Queued a, Queued b) {
+    private boolean precedes(QueuedJob a, QueuedJob b) {
         int byPriority = a.job.spec().priority().compareTo(b.job.spec().priority());
         if (byPriority != 0) {
             return byPriority < 0;
@@ -85,25 +87,26 @@
         return a.compareUrgency(b) < 0;
     }
 
-    /** A job in its team's queue, with what its place there follows from: worked out once, compared often. */
-    private record Queued(JobView job, int urgency, int remainingWorkMagnitude) {
+    /** A job in its team's queue, with its sort keys precomputed. */
+    private record QueuedJob(JobView job, int urgency, int remainingWorkLog2) {
         /**
-         * Of equal priorities: first what has waited for so long that its start is overdue, then what can still meet an
-         * objective of its class, its first before only a later one, the less work before the more since more of it
-         * does, then the rest.
+         * Order among jobs of equal priority: overdue jobs first, then those that can still meet an objective of their
+         * class, then the rest. Jobs that can meet their first objective precede those that can only meet a later one.
+         * Among these, jobs with less remaining work come first, because more jobs then meet their objectives.
          */
-        int compareUrgency(Queued other) {
+        int compareUrgency(QueuedJob other) {
             int byUrgency = Integer.compare(urgency, other.urgency);
             if (byUrgency == 0 && urgency != OVERDUE && urgency != MISSED_SLO) {
-                byUrgency = Integer.compare(remainingWorkMagnitude, other.remainingWorkMagnitude);
+                byUrgency = Integer.compare(remainingWorkLog2, other.remainingWorkLog2);
             }
             return byUrgency != 0 ? byUrgency : Long.compare(job.latestStartMicros(), other.job.latestStartMicros());
         }
     }
 
-    /** The lower the more urgent: overdue, then by the number of objectives that are missed, then all missed. */
+    /** The urgency, where lower is more urgent: overdue, then by the number of missed objectives, then all missed. */
     private int urgency(JobView job) {
-        boolean large = 2 * job.spec().tasks() > largest.getOrDefault(job.spec().jobClass(), 0);
+        boolean large =
+                2 * job.spec().tasks() > maxTasksByClass.getOrDefault(job.spec().jobClass(), 0);
         boolean overdue = nowMicros - job.acceptedMicros() > (large ? LARGE_OVERDUE_MICROS : OVERDUE_MICROS);
         if (overdue && !job.started()) {
             return OVERDUE;
--- a/src/main/java/org/weldcourse/admission/ArrayAdmission.java
+++ b/src/main/java/org/weldcourse/admission/ArrayAdmission.java
@@ -8,52 +8,58 @@
 import org.weldcourse.cluster.Snapshot.JobView;
 import org.weldcourse.jobs.JobSpec;
 
-/** Admission of job arrays and services: as many of their tasks as find room. */
+/** Admits job arrays and services: as many of their tasks as fit. */
 final class ArrayAdmission {
     private final CycleBookings bookings;
     private final MachinePreemption preemption;
-    /** Arrays that found all room taken, by kind: their like that need as much or more find none in this cycle either. */
-    private final Map<Kind, List<JobSpec>> withoutCapacity = new HashMap<>();
+    /**
+     * Jobs that found no capacity left, by constraints. Others that need as much or more per task are skipped this
+     * cycle.
+     */
+    private final Map<ConstraintKey, List<JobSpec>> unplaceable = new HashMap<>();
 
     ArrayAdmission(CycleBookings bookings, MachinePreemption preemption) {
         this.bookings = bookings;
         this.preemption = preemption;
     }
 
-    /** Whose arrays may go where, and what they may preempt: all that decides on their room but their size. */
-    private record Kind(String team, JobSpec.Priority priority, List<String> types, String zone, boolean spot) {
-        Kind(JobSpec spec) {
+    /**
+     * Everything except the resource request that determines on which machines a job may run and what it may preempt.
+     */
+    private record ConstraintKey(
+            String team, JobSpec.Priority priority, List<String> types, String zone, boolean spot) {
+        ConstraintKey(JobSpec spec) {
             this(spec.team(), spec.priority(), spec.machineTypes(), spec.zone(), spec.allowsSpot());
         }
     }
 
     /**
-     * Admits up to {@code max} tasks: on free room first, then over what they may preempt.
+     * Admits up to {@code max} tasks: on free capacity first, then by preemption.
      *
-     * @return how many were admitted
+     * @return the number of admitted tasks
      */
     int place(JobView job, TeamUsage usage, int max) {
         JobSpec spec = job.spec();
-        List<JobSpec> foundNone = withoutCapacity.computeIfAbsent(new Kind(spec), kind -> new ArrayList<>());
-        if (foundNone.stream().anyMatch(smaller -> needsNoMoreThan(smaller, spec))) {
+        List<JobSpec> unplaceableSpecs = unplaceable.computeIfAbsent(new ConstraintKey(spec), key -> new ArrayList<>());
+        if (unplaceableSpecs.stream().anyMatch(other -> needsNoMoreThan(other, spec))) {
             return 0;
         }
         List<FreeCapacity> feasible = bookings.feasible(job);
         ZoneBudget zones = zoneBudget(job, feasible);
-        ArrayBinPacking packed = ArrayBinPacking.onFreeCapacity(spec, feasible, zones, max);
-        if (packed.left() < max) {
-            bookings.book(job, usage, packed.tasksByMachine());
+        ArrayBinPacking packing = ArrayBinPacking.onFreeCapacity(spec, feasible, zones, max);
+        if (packing.unplaced() < max) {
+            bookings.book(job, usage, packing.tasksByMachine());
         }
-        int left = packed.left();
+        int left = packing.unplaced();
         if (left > 0) {
-            left -= placeOverVictims(job, usage, feasible, zones, left);
+            left -= placeByPreemption(job, usage, feasible, zones, left);
         }
         if (left > 0
-                && packed.isExhausted()
+                && packing.capacityExhausted()
                 && !spec.singleZone()
                 && !spec.spreadAcrossZones()
                 && job.excludedMachines().isEmpty()) {
-            foundNone.add(spec);
+            unplaceableSpecs.add(spec);
         }
         return max - left;
     }
@@ -62,7 +68,10 @@
         return a.cpus() <= b.cpus() && a.gpus() <= b.gpus() && a.memoryGb() <= b.memoryGb();
     }
 
-    /** One that must be in a single zone stays where its tasks are; without any it goes where most of them fit. */
+    /**
+     * A single-zone job stays in the zone of its booked tasks, or goes to the zone with the most capacity if it has
+     * none.
+     */
     private static ZoneBudget zoneBudget(JobView job, List<FreeCapacity> feasible) {
         Map<String, Integer> tasksByZone = new HashMap<>(job.tasksByZone());
         String onlyZone = null;
@@ -74,36 +83,40 @@
         return new ZoneBudget(job.spec(), onlyZone, tasksByZone);
     }
 
-    /** Books over what may be preempted: the victims are stopped, and the tasks run once those have left. */
-    private int placeOverVictims(
+    /**
+     * Books tasks in place of preemptible ones: the victims are stopped, and the tasks start once the victims have
+     * exited.
+     */
+    private int placeByPreemption(
             JobView job, TeamUsage usage, List<FreeCapacity> feasible, ZoneBudget zones, int wanted) {
         JobSpec spec = job.spec();
         boolean claimsGuarantee = preemption.claimsGuarantee(job, usage);
-        feasible.removeIf(capacity -> !preemption.mayFindVictims(job, claimsGuarantee, capacity));
+        feasible.removeIf(capacity -> !preemption.mayHaveVictims(job, claimsGuarantee, capacity));
         PlacementOrder.sort(feasible, spec);
         Map<FreeCapacity, Integer> tasksByMachine = new LinkedHashMap<>();
         int left = wanted;
         for (FreeCapacity capacity : feasible) {
             String zone = capacity.machine.zone();
-            int max = Math.min(left, zones.left(zone));
+            int max = Math.min(left, zones.remaining(zone));
             if (max <= 0) {
                 continue;
             }
-            // First what the team may claim as its own; beyond that only priority counts.
-            int claim = usage.tasksWithinGuarantee(spec);
-            int wish = claim > 0 ? Math.min(claim, max) : max;
-            MachinePreemption.Offer offer = preemption.offer(job, usage, capacity, wish, 0);
-            if (offer != null) {
-                int taken = Math.min(wish, offer.tasks());
+            // Within the team's guarantee, borrowed capacity can be reclaimed; beyond it only lower priorities are
+            // preempted.
+            int guaranteed = usage.tasksWithinGuarantee(spec);
+            int requested = guaranteed > 0 ? Math.min(guaranteed, max) : max;
+            MachinePreemption.PlacementOption option = preemption.optionOn(job, usage, capacity, requested, 0);
+            if (option != null) {
+                int taken = Math.min(requested, option.tasks());
                 usage.charge(spec, taken);
-                offer.victims().forEach(victim -> bookings.preempt(capacity, victim));
+                option.victims().forEach(victim -> bookings.preempt(capacity, victim));
                 tasksByMachine.put(capacity, taken);
-                zones.take(zone, taken);
+                zones.consume(zone, taken);
                 left -= taken;
             }
         }
         if (!tasksByMachine.isEmpty()) {
-            // They were charged one machine after the other, so that each saw what is left of the guarantee.
+            // Undo the charges made above, which let each machine see the remaining guarantee: book() charges again.
             usage.charge(spec, left - wanted);
             bookings.book(job, usage, tasksByMachine);
         }
--- a/src/main/java/org/weldcourse/admission/ArrayBinPacking.java
+++ b/src/main/java/org/weldcourse/admission/ArrayBinPacking.java
@@ -9,77 +9,85 @@
 import org.weldcourse.jobs.JobSpec;
 
 /**
- * Bin packing of an array's or a service's tasks on room that is free now or should be free in a moment, without
- * preempting anything.
+ * Bin packing of an array's or a service's tasks on capacity that is free now or expected to be free soon, without
+ * preemption.
  *
- * @param counts tasks by machine, in the order in which they were placed; nothing is booked yet
- * @param left tasks that found no place
- * @param isExhausted whether free room ran out, rather than tasks being kept back for room that is free for certain
+ * @param tasksByMachine the number of tasks by machine, in placement order; nothing is booked yet
+ * @param unplaced the number of tasks that were not placed
+ * @param capacityExhausted whether free capacity ran out, as opposed to tasks being held back until capacity is
+ *     actually free
  */
-record ArrayBinPacking(Map<FreeCapacity, Integer> tasksByMachine, int left, boolean isExhausted) {
-    /** Places up to {@code max} tasks on the feasible machines and takes them from the budget of zones. */
+record ArrayBinPacking(Map<FreeCapacity, Integer> tasksByMachine, int unplaced, boolean capacityExhausted) {
+    /** Places up to {@code max} tasks on the feasible machines and charges them to the zone budget. */
     static ArrayBinPacking onFreeCapacity(JobSpec spec, List<FreeCapacity> feasible, ZoneBudget zones, int max) {
-        // The cheapest machines first and of those the fullest, so that the dear ones run empty and can go.
-        List<FreeCapacity> open = new ArrayList<>();
+        // Cheapest machines first, then the fullest, so that expensive machines become idle and can be released.
+        List<FreeCapacity> candidates = new ArrayList<>();
         for (FreeCapacity capacity : feasible) {
             if (capacity.fitsSoon(spec) > 0) {
-                open.add(capacity);
+                candidates.add(capacity);
             }
         }
-        PlacementOrder.sort(open, spec);
+        PlacementOrder.sort(candidates, spec);
         Map<FreeCapacity, Integer> tasksByMachine = new LinkedHashMap<>();
         int left = max;
         if (spec.isService()) {
-            left = ReplicaPlacement.scatter(spec, open, zones, tasksByMachine, left);
+            left = ReplicaPlacement.spread(spec, candidates, zones, tasksByMachine, left);
         }
-        left = fill(spec, open, zones, tasksByMachine, left, false, 0);
-        int keptBack = 0;
-        // A replica does not wait for a place while it can preempt lower priorities.
+        left = fill(spec, candidates, zones, tasksByMachine, left, false, 0);
+        int heldBack = 0;
+        // Replicas do not wait for capacity that is free soon, because they can preempt lower priorities instead.
         if (!spec.isService()) {
-            // A job is done with its last task: half of what waits is kept for room that is free for certain.
-            keptBack = (left + 1) / 2;
-            left = fill(spec, open, zones, tasksByMachine, left, true, keptBack);
+            // A job ends with its last task, so half of the waiting tasks are held back until capacity is actually
+            // free.
+            heldBack = (left + 1) / 2;
+            left = fill(spec, candidates, zones, tasksByMachine, left, true, heldBack);
         }
-        return new ArrayBinPacking(tasksByMachine, left, left > keptBack);
+        return new ArrayBinPacking(tasksByMachine, left, left > heldBack);
     }
 
     /**
-     * Adds to {@code tasksByMachine} what the open machines take, in their order, until {@code keep} tasks are left; {@code soon}
-     * counts room that should be free in a moment. Tells how many tasks are left.
+     * Fills the candidates in their order and adds the tasks to {@code tasksByMachine}, until {@code keep} tasks are
+     * left.
+     *
+     * @param includeFreeSoon whether to count capacity that is expected to be free soon
+     * @return the number of tasks that are left
      */
     private static int fill(
             JobSpec spec,
-            List<FreeCapacity> open,
+            List<FreeCapacity> candidates,
             ZoneBudget zones,
             Map<FreeCapacity, Integer> tasksByMachine,
             int left,
-            boolean soon,
+            boolean includeFreeSoon,
             int keep) {
-        for (FreeCapacity capacity : open) {
+        for (FreeCapacity capacity : candidates) {
             if (left <= keep) {
                 break;
             }
             String zone = capacity.machine.zone();
-            int fits =
-                    (soon ? capacity.fitsSoon(spec) : capacity.fits(spec)) - tasksByMachine.getOrDefault(capacity, 0);
-            fits = Math.min(Math.min(left - keep, fits), zones.left(zone));
+            int fits = (includeFreeSoon ? capacity.fitsSoon(spec) : capacity.fits(spec))
+                    - tasksByMachine.getOrDefault(capacity, 0);
+            fits = Math.min(Math.min(left - keep, fits), zones.remaining(zone));
             if (fits > 0) {
                 tasksByMachine.merge(capacity, fits, Integer::sum);
-                zones.take(zone, fits);
+                zones.consume(zone, fits);
                 left -= fits;
             }
         }
         return left;
     }
 
-    /** For an array that must stay in one zone and has no task yet: the zone with most room for it, or null. */
+    /**
+     * The zone in which most tasks fit, or null if no machine is feasible. Used for a single-zone job without any tasks
+     * yet.
+     */
     static String zoneWithMostCapacity(List<FreeCapacity> feasible, JobSpec spec) {
         Map<String, Integer> fits = new HashMap<>();
         for (FreeCapacity capacity : feasible) {
             fits.merge(capacity.machine.zone(), capacity.fits(spec), Integer::sum);
         }
         return fits.entrySet().stream()
-                .max(Comparator.comparingInt((Map.Entry<String, Integer> e) -> e.getValue())
+                .max(Comparator.comparingInt((Map.Entry<String, Integer> entry) -> entry.getValue())
                         .thenComparing(Map.Entry::getKey))
                 .map(Map.Entry::getKey)
                 .orElse(null);
--- a/src/main/java/org/weldcourse/admission/CapacityDemandEstimator.java
+++ b/src/main/java/org/weldcourse/admission/CapacityDemandEstimator.java
@@ -9,13 +9,13 @@
 import org.weldcourse.jobs.JobSpec;
 import org.weldcourse.settings.Settings;
 
-/** Tells the fleet what capacity is missing for the tasks that a cycle left pending. */
+/** Computes the capacity demand of the tasks that an admission cycle left pending. */
 public final class CapacityDemandEstimator {
     /**
-     * How long a place stays empty between two tasks, in intervals of heartbeats: prompted heartbeats and booking
-     * ahead shorten it.
+     * The idle time between two consecutive tasks on the same resources, in heartbeat intervals. It is below 1 because
+     * prompted heartbeats and booking ahead shorten it.
      */
-    private static final double GAP_HEARTBEATS = 0.5;
+    private static final double IDLE_GAP_HEARTBEATS = 0.5;
 
     private static final long MIN_RUN_MICROS = 1_000_000;
 
@@ -23,14 +23,14 @@
     private final long gapMicros;
     private final JobDeadlines deadlines;
 
-    /** An estimator that reads jobs and their run times from this cluster. */
+    /** Creates an estimator that reads jobs and run times from the given cluster state. */
     public CapacityDemandEstimator(ClusterState cluster, Settings settings) {
         this.cluster = cluster;
-        this.gapMicros = (long) (settings.workers().heartbeatIntervalMicros() * GAP_HEARTBEATS);
+        this.gapMicros = (long) (settings.workers().heartbeatIntervalMicros() * IDLE_GAP_HEARTBEATS);
         this.deadlines = new JobDeadlines(settings.objectives(), cluster.runTimes);
     }
 
-    /** What the fleet has to find room for: the pending tasks that their team's quota does not hold back. */
+    /** The capacity demand of the pending tasks that are not blocked by quota. */
     public List<CapacityDemand> demand(List<CycleDecisions.PendingTasks> pending) {
         List<CapacityDemand> demand = new ArrayList<>();
         for (CycleDecisions.PendingTasks tasks : pending) {
--- a/src/main/java/org/weldcourse/admission/CycleBookings.java
+++ b/src/main/java/org/weldcourse/admission/CycleBookings.java
@@ -17,7 +17,7 @@
 import org.weldcourse.cluster.Snapshot.TeamView;
 import org.weldcourse.jobs.JobSpec;
 
-/** What one cycle has booked so far: what is free on machines, what teams use, and the decisions that came of it. */
+/** The state of one admission cycle: free capacity of machines, usage of teams, and the decisions made so far. */
 final class CycleBookings {
     private final List<FreeCapacity> capacities = new ArrayList<>();
     private final Map<String, TeamUsage> usages = new HashMap<>();
@@ -41,17 +41,17 @@
         }
     }
 
-    /** Every machine of the snapshot, in its order. */
+    /** All machines of the snapshot, in its order. */
     List<FreeCapacity> capacities() {
         return capacities;
     }
 
-    /** What teams use, by their names; a team without settings has none. */
+    /** The usage by team name; a team without settings has no entry. */
     Map<String, TeamUsage> usages() {
         return usages;
     }
 
-    /** The machines that the job may run on, whether or not they have room. */
+    /** The machines that the job may run on, regardless of their free capacity. */
     List<FreeCapacity> feasible(JobView job) {
         JobSpec spec = job.spec();
         List<FreeCapacity> feasible = new ArrayList<>();
@@ -68,7 +68,7 @@
         return feasible;
     }
 
-    /** Work that the gang may preempt again can use the machine reserved for it meanwhile. */
+    /** A machine reserved for a gang may still be used by jobs that the gang can preempt later. */
     private boolean isReservedAgainst(FreeCapacity capacity, JobSpec job) {
         JobSpec gang = capacity.reservedFor;
         if (gang == null) {
@@ -80,13 +80,13 @@
         return !yields;
     }
 
-    /** Reserves the machine for a gang that waits for the rest of its places. */
+    /** Reserves the machine for a gang that does not fit as a whole yet. */
     void reserve(FreeCapacity capacity, JobSpec gang) {
         capacity.reservedFor = gang;
         reservedMachines.add(capacity.machine.name());
     }
 
-    /** Frees the victim's room for this cycle; a task that is terminating already is not asked again. */
+    /** Frees the victim's resources for this cycle, and preempts it unless it is terminating already. */
     void preempt(FreeCapacity capacity, TaskView victim) {
         if (capacity.victims.isEmpty()) {
             capacity.victims = Collections.newSetFromMap(new IdentityHashMap<>());
@@ -100,7 +100,7 @@
         }
     }
 
-    /** Books so many of the job's pending tasks on each machine, charges its team for them, and admits them. */
+    /** Books this many of the job's pending tasks on each machine, charges the team's usage, and admits the tasks. */
     void book(JobView job, TeamUsage usage, Map<FreeCapacity, Integer> tasksByMachine) {
         Map<String, int[]> tasks = new LinkedHashMap<>();
         for (Map.Entry<FreeCapacity, Integer> entry : tasksByMachine.entrySet()) {
@@ -123,13 +123,15 @@
 
     private void admit(JobView job, Map<String, int[]> tasks) {
         if (isLastAdmitted(job)) {
-            // What preempts others joins what found free room: one job's records are never written twice at once.
+            // Merge tasks placed by preemption with those placed on free capacity: a job has at most one admission a
+            // cycle, because its records must not be written twice at the same time.
             admissions.get(admissions.size() - 1).add(tasks);
         } else if (admissions.size() < maxAdmissions) {
             admissions.add(new CycleDecisions.Admission(job.spec().id(), tasks));
         } else {
-            // Past the bound the room is spoken for all the same, or less important work would be admitted instead,
-            // and the machines be returned before the next cycles can admit it.
+            // Beyond the limit of admissions the capacity stays booked for this cycle and the machines are reserved.
+            // Otherwise less important jobs would be admitted instead, and the machines scaled in before a later cycle
+            // can admit these tasks.
             reservedMachines.addAll(tasks.keySet());
         }
     }
@@ -139,7 +141,7 @@
                 && admissions.get(admissions.size() - 1).job().equals(job.spec().id());
     }
 
-    /** The cycle's decisions, and these tasks that found no room or no quota. */
+    /** The cycle's decisions, with the given tasks as pending. */
     CycleDecisions decisions(List<CycleDecisions.PendingTasks> pending) {
         return new CycleDecisions(admissions, preemptions, pending, reservedMachines);
     }
--- a/src/main/java/org/weldcourse/admission/CycleDecisions.java
+++ b/src/main/java/org/weldcourse/admission/CycleDecisions.java
@@ -7,13 +7,13 @@
 import org.weldcourse.jobs.JobSpec;
 
 /**
- * What one admission cycle decided. The planner makes it; the term carries it out and tells the fleet what is missing.
+ * The result of one admission cycle. The leader term applies it and passes the capacity demand to the fleet.
  *
- * @param admissions what to admit where, at most one admission per job, in the order in which they are to be written
- * @param preemptions tasks to preempt so that others fit
- * @param pending what found no room or no quota, for the fleet's scale-out
- * @param reservedMachines names of machines that are spoken for: reserved for gangs, or booked past the bound of admissions, so
- *     that the fleet does not scale them in
+ * @param admissions the admissions, at most one per job, in the order in which they are to be written
+ * @param preemptions tasks to preempt
+ * @param pending tasks that lack capacity or quota; the fleet scales out for the former
+ * @param reservedMachines names of machines that the fleet must not scale in: reserved for gangs, or booked beyond the
+ *     limit of admissions
  */
 public record CycleDecisions(
         List<Admission> admissions,
@@ -28,7 +28,7 @@
      * @param tasks task indexes by machine name, in ascending order on each machine
      */
     public record Admission(String job, Map<String, int[]> tasks) {
-        /** Adds further tasks, which all come after those on the same machines. */
+        /** Adds tasks, whose indexes on each machine are higher than those already there. */
         void add(Map<String, int[]> more) {
             more.forEach((machine, some) -> tasks.merge(machine, some, Admission::concatenate));
         }
@@ -41,7 +41,7 @@
     }
 
     /**
-     * A task to preempt; the task of a gang stands for the whole gang, which is stopped together.
+     * A task to preempt. Preempting one task of a gang stops the whole gang.
      *
      * @param job the job's id
      * @param task the task's index in its job
@@ -49,12 +49,12 @@
     public record Preemption(String job, int task) {}
 
     /**
-     * Tasks of a job that wait.
+     * Pending tasks of a job.
      *
      * @param spec the job
-     * @param tasks how many of its tasks wait
-     * @param blockedByQuota whether the team's limit is in the way, so that scaling out would not help
-     * @param freeSlotsByZone for a gang, the places that are there for it already, by zone; it waits for the rest
+     * @param tasks the number of pending tasks
+     * @param blockedByQuota whether the tasks wait for quota, so that scaling out would not help
+     * @param freeSlotsByZone for a gang, the number of its tasks by zone that already fit
      */
     public record PendingTasks(JobSpec spec, int tasks, boolean blockedByQuota, Map<String, Integer> freeSlotsByZone) {
         PendingTasks(JobSpec spec, int tasks, boolean blockedByQuota) {
--- a/src/main/java/org/weldcourse/admission/FreeCapacity.java
+++ b/src/main/java/org/weldcourse/admission/FreeCapacity.java
@@ -6,42 +6,47 @@
 import org.weldcourse.fleet.MachineType;
 import org.weldcourse.jobs.JobSpec;
 
-/** What is free on a machine as a cycle books tasks on it. */
+/** The free capacity of a machine during one admission cycle. */
 final class FreeCapacity {
     final MachineView machine;
     final double pricePerCpu;
-    /** Price per CPU in coarse steps: spot prices wander, and a small difference decides nothing. */
-    final int priceStep;
+    /**
+     * The price per CPU rounded to powers of 1.4, so that small fluctuations of spot prices do not affect the order.
+     */
+    final int priceTier;
 
     double cpus;
     double gpus;
     double memoryGb;
-    /** Whether it holds the image of the job that looks for room just now. */
+    /** Whether the machine has the image of the job that is being placed. */
     boolean holdsImage;
-    /** And whether others that would preempt it need such a machine. */
+    /** Whether the machine is needed for start objectives of job classes that would preempt the job being placed. */
     boolean neededForStartSlo;
-    /** What tasks should leave in a moment: others are booked on it ahead, to run in the answer to the exits. */
+    /**
+     * Resources of running tasks that are expected to end soon. Tasks are booked ahead on them, to start in the
+     * response to the heartbeat that reports the exits.
+     */
     double cpusFreeSoon;
 
     double gpusFreeSoon;
     double memoryGbFreeSoon;
-    /** The gang that it is reserved for while the rest of that gang's places are found. */
+    /** The gang that the machine is reserved for, or null. */
     JobSpec reservedFor;
-    /** Replicas of services, all services together. */
+    /** The number of replicas of all services. */
     int replicas;
-    /** Few machines have any in a cycle. */
+    /** Tasks preempted in this cycle; few machines have any, so the set is allocated on demand. */
     Set<TaskView> victims = Set.of();
 
     FreeCapacity(MachineView machine, long untilMicros, long nowMicros) {
         this.machine = machine;
         pricePerCpu = machine.type().pricePerCpuHour(machine.spot());
-        priceStep = pricePerCpu <= 0 ? 0 : (int) Math.round(Math.log(pricePerCpu) / Math.log(1.4));
+        priceTier = pricePerCpu <= 0 ? 0 : (int) Math.round(Math.log(pricePerCpu) / Math.log(1.4));
         cpus = machine.type().cpus() - machine.allocation().cpus();
         gpus = machine.type().gpus() - machine.allocation().gpus();
         memoryGb = machine.type().memoryGb() - machine.allocation().memoryGb();
         for (TaskView task : machine.allocation().tasks()) {
             replicas += task.job().isService() && !task.terminating() ? 1 : 0;
-            // One that is past its time may go on for long: nothing is booked behind it.
+            // A task that has overrun its expected end may run much longer, so nothing is booked ahead on it.
             if (task.running() && !task.terminating() && task.expectedToEndBetween(nowMicros, untilMicros)) {
                 cpusFreeSoon += task.job().cpus();
                 gpusFreeSoon += task.job().gpus();
@@ -54,12 +59,12 @@
         return MachineType.tasksThatFit(job, cpus, gpus, memoryGb);
     }
 
-    /** How many tasks have room now or in a moment. */
+    /** How many tasks fit now or are expected to fit soon. */
     int fitsSoon(JobSpec job) {
         return MachineType.tasksThatFit(job, cpus + cpusFreeSoon, gpus + gpusFreeSoon, memoryGb + memoryGbFreeSoon);
     }
 
-    /** What the machine costs an hour, at its spot price if it is one. */
+    /** The price per hour; the spot price for a spot machine. */
     double pricePerHour() {
         return machine.type().pricePerHour(machine.spot());
     }
@@ -72,7 +77,7 @@
         return replicas;
     }
 
-    /** How long a task of the job waits for its image here. */
+    /** The time to fetch the job's image; 0 if the machine has it. */
     double fetchSeconds(JobSpec job) {
         return machine.allocation().images().contains(job.image())
                 ? 0
--- a/src/main/java/org/weldcourse/admission/GangAdmission.java
+++ b/src/main/java/org/weldcourse/admission/GangAdmission.java
@@ -8,14 +8,14 @@
 import java.util.Map;
 import org.weldcourse.cluster.Snapshot.JobView;
 
-/** Admission of gangs: whole or not at all, and with machines reserved for those that have to wait. */
+/** Admits gangs, all tasks or none, and reserves machines for gangs that have to wait. */
 final class GangAdmission {
-    private static final String ANYWHERE = "";
+    private static final String ANY_ZONE = "";
 
     private final CycleBookings bookings;
     private final MachinePreemption preemption;
     private final GangReservations reservations;
-    /** The smallest gangs of their shape that found no places in this cycle. */
+    /** The smallest number of tasks that could not be placed in this cycle, by shape. */
     private final Map<GangShape, Integer> unplaceable = new HashMap<>();
 
     GangAdmission(CycleBookings bookings, MachinePreemption preemption, long nowMicros) {
@@ -24,7 +24,7 @@
         this.reservations = new GangReservations(bookings, preemption, nowMicros);
     }
 
-    /** Admits the gang where it costs least, on free room if there is enough, and tells whether it found its places. */
+    /** Admits the gang at the lowest cost, on free capacity if it suffices, and returns whether it was admitted. */
     boolean place(JobView job, TeamUsage usage, int tasks) {
         GangShape shape = new GangShape(job.spec());
         if (job.excludedMachines().isEmpty() && tasks >= unplaceable.getOrDefault(shape, Integer.MAX_VALUE)) {
@@ -34,8 +34,8 @@
         for (boolean preempt : new boolean[] {false, true}) {
             GangPlacement best = cheapest(job, usage, tasks, domains, preempt);
             if (best != null) {
-                for (MachinePreemption.Offer offer : best.offers()) {
-                    offer.victims().forEach(victim -> bookings.preempt(offer.capacity(), victim));
+                for (MachinePreemption.PlacementOption option : best.options()) {
+                    option.victims().forEach(victim -> bookings.preempt(option.capacity(), victim));
                 }
                 bookings.book(job, usage, best.tasksByMachine());
                 return true;
@@ -57,18 +57,23 @@
         return best;
     }
 
-    /** Reserves machines for a gang that found no places, and tells the places that it has already, by zone. */
+    /**
+     * Reserves machines for a gang that could not be placed, and returns how many of its tasks already fit, by zone.
+     */
     Map<String, Integer> reserve(JobView job, TeamUsage usage, int tasks) {
         return reservations.isExhausted(job) ? new HashMap<>() : reservations.reserve(job, usage, tasks, domains(job));
     }
 
-    /** The machines among which a gang's tasks may be spread: by zone when it must be in one, else all together. */
+    /**
+     * The sets of machines that a gang's tasks may be spread over: one per zone for a single-zone gang, else one in
+     * all.
+     */
     private Map<String, List<FreeCapacity>> domains(JobView job) {
         Map<String, List<FreeCapacity>> domains = new LinkedHashMap<>();
         for (FreeCapacity capacity : bookings.feasible(job)) {
             if (capacity.machine.type().fits(job.spec())) {
                 domains.computeIfAbsent(
-                                job.spec().singleZone() ? capacity.machine.zone() : ANYWHERE, zone -> new ArrayList<>())
+                                job.spec().singleZone() ? capacity.machine.zone() : ANY_ZONE, zone -> new ArrayList<>())
                         .add(capacity);
             }
         }
--- a/src/main/java/org/weldcourse/admission/GangPlacement.java
+++ b/src/main/java/org/weldcourse/admission/GangPlacement.java
@@ -6,13 +6,13 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.weldcourse.admission.MachinePreemption.Offer;
+import org.weldcourse.admission.MachinePreemption.PlacementOption;
 import org.weldcourse.cluster.Snapshot.JobView;
 import org.weldcourse.jobs.JobSpec;
 
-/** Where a gang's tasks would go, what has to be stopped for them, and what work that loses. */
-record GangPlacement(Map<FreeCapacity, Integer> tasksByMachine, List<Offer> offers, double cost) {
-    /** The best places on these machines, or null when there are too few. */
+/** A possible placement of a gang: the machines, the tasks to preempt there, and its cost in CPU-seconds. */
+record GangPlacement(Map<FreeCapacity, Integer> tasksByMachine, List<PlacementOption> options, double cost) {
+    /** The cheapest placement on these machines, or null if the gang does not fit. */
     static GangPlacement of(
             JobView job,
             TeamUsage usage,
@@ -20,11 +20,11 @@
             List<FreeCapacity> domain,
             boolean preempt,
             MachinePreemption preemption) {
-        List<Offer> offers = offers(job, usage, tasks, domain, preempt, preemption);
-        return best(job.spec(), tasks, offers);
+        List<PlacementOption> options = options(job, usage, tasks, domain, preempt, preemption);
+        return selectCheapest(job.spec(), tasks, options);
     }
 
-    private static List<Offer> offers(
+    private static List<PlacementOption> options(
             JobView job,
             TeamUsage usage,
             int tasks,
@@ -32,57 +32,59 @@
             boolean preempt,
             MachinePreemption preemption) {
         JobSpec spec = job.spec();
-        List<Offer> offers = new ArrayList<>();
+        List<PlacementOption> options = new ArrayList<>();
         boolean claimsGuarantee = preemption.claimsGuarantee(job, usage);
         double cheapest = Double.POSITIVE_INFINITY;
         for (FreeCapacity capacity : domain) {
             cheapest = Math.min(cheapest, capacity.pricePerCpu);
         }
         for (FreeCapacity capacity : domain) {
-            double ownCost = capacity.fetchSeconds(spec) * spec.cpus();
+            double baseCost = capacity.fetchSeconds(spec) * spec.cpus();
             if (cheapest > 0) {
-                // On a dear machine the whole run costs more; what runs there now had better go to it instead.
-                ownCost += job.expectedRunMicros() / 1e6 * spec.cpus() * (capacity.pricePerCpu / cheapest - 1);
+                // Charge the higher price of this machine for the whole run, so that a more expensive machine is used
+                // only where preemption on a cheap one would cost more.
+                baseCost += job.expectedRunMicros() / 1e6 * spec.cpus() * (capacity.pricePerCpu / cheapest - 1);
             }
             if (!preempt) {
                 if (capacity.fits(spec) > 0) {
-                    offers.add(new Offer(capacity, capacity.fits(spec), List.of(), ownCost + capacity.cpus * 1e-3));
+                    options.add(new PlacementOption(
+                            capacity, capacity.fits(spec), List.of(), baseCost + capacity.cpus * 1e-3));
                 }
                 continue;
             }
-            if (capacity.fits(spec) == 0 && !preemption.mayFindVictims(job, claimsGuarantee, capacity)) {
+            if (capacity.fits(spec) == 0 && !preemption.mayHaveVictims(job, claimsGuarantee, capacity)) {
                 continue;
             }
-            Offer offer = preemption.offer(job, usage, capacity, tasks, ownCost);
-            if (offer != null) {
-                offers.add(offer);
+            PlacementOption option = preemption.optionOn(job, usage, capacity, tasks, baseCost);
+            if (option != null) {
+                options.add(option);
             }
         }
-        return offers;
+        return options;
     }
 
-    /** The offers that cost least for each task, as many as it takes. */
-    private static GangPlacement best(JobSpec spec, int tasks, List<Offer> offers) {
-        offers.sort(Comparator.comparingDouble(Offer::costPerTask)
-                .thenComparing(offer -> offer.capacity().machine.name()));
+    /** Takes the options with the lowest cost per task until all tasks are placed; null if they do not suffice. */
+    private static GangPlacement selectCheapest(JobSpec spec, int tasks, List<PlacementOption> options) {
+        options.sort(Comparator.comparingDouble(PlacementOption::costPerTask)
+                .thenComparing(option -> option.capacity().machine.name()));
         Map<FreeCapacity, Integer> tasksByMachine = new LinkedHashMap<>();
         ZoneBudget zones = new ZoneBudget(spec, null, new HashMap<>());
-        List<Offer> taken = new ArrayList<>();
+        List<PlacementOption> chosen = new ArrayList<>();
         double cost = 0;
         int left = tasks;
-        for (Offer offer : offers) {
-            String zone = offer.capacity().machine.zone();
-            int take = Math.min(Math.min(left, offer.tasks()), zones.left(zone));
+        for (PlacementOption option : options) {
+            String zone = option.capacity().machine.zone();
+            int take = Math.min(Math.min(left, option.tasks()), zones.remaining(zone));
             if (take <= 0) {
                 continue;
             }
-            tasksByMachine.put(offer.capacity(), take);
-            zones.take(zone, take);
-            taken.add(offer);
-            cost += offer.cost();
+            tasksByMachine.put(option.capacity(), take);
+            zones.consume(zone, take);
+            chosen.add(option);
+            cost += option.cost();
             left -= take;
             if (left == 0) {
-                return new GangPlacement(tasksByMachine, taken, cost);
+                return new GangPlacement(tasksByMachine, chosen, cost);
             }
         }
         return null;
--- a/src/main/java/org/weldcourse/admission/GangReservations.java
+++ b/src/main/java/org/weldcourse/admission/GangReservations.java
@@ -9,19 +9,22 @@
 import org.weldcourse.cluster.Snapshot.JobView;
 import org.weldcourse.cluster.Snapshot.TaskView;
 
-/** Machines that are reserved in one cycle for gangs that found too few places (gang scheduling). */
+/** Reserves machines in one admission cycle for gangs that do not fit yet. */
 final class GangReservations {
-    /** How long after its acceptance machines are reserved for a gang, and the pause until they are reserved again. */
-    private static final long RESERVE_MICROS = 225_000_000;
+    /** How long machines stay reserved for a gang, from its acceptance or from the end of the last pause. */
+    private static final long RESERVATION_MICROS = 225_000_000;
 
-    private static final long RESERVE_PAUSE_MICROS = 60_000_000;
-    /** From here on a gang's machines are reserved even before there are enough of them. */
-    private static final long RESERVE_FEWER_MICROS = 45_000_000;
+    private static final long RESERVATION_PAUSE_MICROS = 60_000_000;
+    /** After this wait machines are reserved even if all existing ones together cannot hold the gang. */
+    private static final long PARTIAL_RESERVATION_AFTER_MICROS = 45_000_000;
 
     private final CycleBookings bookings;
     private final MachinePreemption preemption;
     private final long nowMicros;
-    /** The shapes for which every machine is reserved already: in a burst hundreds of gangs need not look at each. */
+    /**
+     * Shapes for which all machines are reserved already, so that a burst of hundreds of gangs does not scan them
+     * again.
+     */
     private final Set<GangShape> exhausted = new HashSet<>();
 
     GangReservations(CycleBookings bookings, MachinePreemption preemption, long nowMicros) {
@@ -30,99 +33,101 @@
         this.nowMicros = nowMicros;
     }
 
-    /** Whether no machine is left to reserve for gangs like this one. */
+    /** Whether no machine is left to reserve for gangs of this job's shape. */
     boolean isExhausted(JobView job) {
         return exhausted.contains(new GangShape(job.spec()));
     }
 
     /**
-     * A gang found too few places. Those that are best for it are reserved, so that gangs behind it, which could do
-     * with less, don't overtake it for ever; lower priorities may use them meanwhile. The reservation follows from the time
-     * of acceptance alone, so that every leader reserves alike, and it pauses now and then, should the rest never be
-     * found. Tells the places that are there for the gang already, by zone.
+     * Reserves the best machines for a gang that does not fit, so that smaller gangs behind it do not starve it. Lower
+     * priorities may use them in the meantime. The reservation depends on the time of acceptance alone, so that every
+     * leader reserves the same way. It pauses periodically, in case the missing machines never become available.
+     *
+     * @return how many of the gang's tasks already fit, by zone
      */
     Map<String, Integer> reserve(JobView job, TeamUsage usage, int tasks, Map<String, List<FreeCapacity>> domains) {
         if (domains.isEmpty() && job.excludedMachines().isEmpty()) {
             exhausted.add(new GangShape(job.spec()));
         }
         long waitedMicros = nowMicros - job.acceptedMicros();
-        Map<String, Integer> freePlacesByZone = new HashMap<>();
-        Survey best = null;
+        Map<String, Integer> freeSlotsByZone = new HashMap<>();
+        DomainCapacity best = null;
         for (List<FreeCapacity> domain : domains.values()) {
-            Survey survey = survey(job, usage, tasks, domain, freePlacesByZone);
-            // With too few machines nothing is gained by reserving them before more are rented.
-            boolean worthReserving = survey.maxPlaces >= tasks || waitedMicros > RESERVE_FEWER_MICROS;
-            if (worthReserving && (best == null || survey.freePlaces > best.freePlaces)) {
-                best = survey;
+            DomainCapacity domainCapacity = assess(job, usage, tasks, domain, freeSlotsByZone);
+            // If the gang does not fit on all machines of the domain, reserving them is useless until more are rented.
+            boolean worthReserving =
+                    domainCapacity.totalSlots >= tasks || waitedMicros > PARTIAL_RESERVATION_AFTER_MICROS;
+            if (worthReserving && (best == null || domainCapacity.freeSlots > best.freeSlots)) {
+                best = domainCapacity;
             }
         }
-        boolean pauses =
-                Math.floorMod(Math.max(0, waitedMicros), RESERVE_MICROS + RESERVE_PAUSE_MICROS) >= RESERVE_MICROS;
-        if (best != null && !pauses) {
-            reserveFirst(job, best.candidates, tasks);
+        boolean paused = Math.floorMod(Math.max(0, waitedMicros), RESERVATION_MICROS + RESERVATION_PAUSE_MICROS)
+                >= RESERVATION_MICROS;
+        if (best != null && !paused) {
+            reserveSoonestFree(job, best.candidates, tasks);
         }
-        return freePlacesByZone;
+        return freeSlotsByZone;
     }
 
     /**
-     * Machines that the gang may be spread over.
+     * The machines of a domain, and how many of the gang's tasks they can hold.
      *
-     * @param freePlaces how many of its tasks they have room for, also by preemption
-     * @param maxPlaces how many of its tasks would fit on them if they were empty
+     * @param freeSlots how many tasks fit, including by preemption
+     * @param totalSlots how many tasks would fit if the machines were empty
      */
-    private record Survey(List<Candidate> candidates, int freePlaces, int maxPlaces) {}
+    private record DomainCapacity(List<Candidate> candidates, int freeSlots, int totalSlots) {}
 
-    private Survey survey(
-            JobView job, TeamUsage usage, int tasks, List<FreeCapacity> domain, Map<String, Integer> freePlacesByZone) {
+    private DomainCapacity assess(
+            JobView job, TeamUsage usage, int tasks, List<FreeCapacity> domain, Map<String, Integer> freeSlotsByZone) {
         boolean claimsGuarantee = preemption.claimsGuarantee(job, usage);
         List<Candidate> candidates = new ArrayList<>(domain.size());
-        int freePlaces = 0;
-        int maxPlaces = 0;
+        int freeSlots = 0;
+        int totalSlots = 0;
         for (FreeCapacity capacity : domain) {
-            MachinePreemption.Offer offer =
-                    capacity.fits(job.spec()) > 0 || preemption.mayFindVictims(job, claimsGuarantee, capacity)
-                            ? preemption.offer(job, usage, capacity, tasks, 0)
+            MachinePreemption.PlacementOption option =
+                    capacity.fits(job.spec()) > 0 || preemption.mayHaveVictims(job, claimsGuarantee, capacity)
+                            ? preemption.optionOn(job, usage, capacity, tasks, 0)
                             : null;
-            int places = offer == null ? 0 : offer.tasks();
-            candidates.add(new Candidate(capacity, places == 0, freeAtMicros(capacity)));
-            freePlaces += places;
-            maxPlaces += capacity.machine.type().tasksThatFit(job.spec());
-            freePlacesByZone.merge(capacity.machine.zone(), places, Integer::sum);
+            int slots = option == null ? 0 : option.tasks();
+            candidates.add(new Candidate(capacity, slots == 0, freeAtMicros(capacity)));
+            freeSlots += slots;
+            totalSlots += capacity.machine.type().tasksThatFit(job.spec());
+            freeSlotsByZone.merge(capacity.machine.zone(), slots, Integer::sum);
         }
-        return new Survey(candidates, freePlaces, maxPlaces);
+        return new DomainCapacity(candidates, freeSlots, totalSlots);
     }
 
-    /** Reserves the machines that should be free soonest, as many as the gang's tasks fill. */
-    private void reserveFirst(JobView job, List<Candidate> candidates, int tasks) {
-        candidates.sort(Candidate::compareWait);
-        int places = 0;
+    /** Reserves the machines that are expected to be free soonest, as many as the gang needs. */
+    private void reserveSoonestFree(JobView job, List<Candidate> candidates, int tasks) {
+        candidates.sort(Candidate::compareAvailability);
+        int slots = 0;
         for (Candidate candidate : candidates) {
             FreeCapacity capacity = candidate.capacity;
-            if (places >= tasks) {
+            if (slots >= tasks) {
                 break;
             }
             bookings.reserve(capacity, job.spec());
-            places += capacity.machine.type().tasksThatFit(job.spec());
+            slots += capacity.machine.type().tasksThatFit(job.spec());
         }
     }
 
-    /** A machine that may be reserved for a gang: whether it has no place yet, and when its last task should have ended. */
-    private record Candidate(FreeCapacity capacity, boolean full, long freeAtMicros) {
-        int compareWait(Candidate other) {
-            if (full != other.full) {
-                return Boolean.compare(full, other.full);
+    /** A machine that may be reserved: whether no task fits on it yet, and when its last task is expected to end. */
+    private record Candidate(FreeCapacity capacity, boolean withoutFreeSlot, long freeAtMicros) {
+        int compareAvailability(Candidate other) {
+            if (withoutFreeSlot != other.withoutFreeSlot) {
+                return Boolean.compare(withoutFreeSlot, other.withoutFreeSlot);
             }
             int byTime = Long.compare(freeAtMicros, other.freeAtMicros);
             return byTime != 0 ? byTime : capacity.machine.name().compareTo(other.capacity.machine.name());
         }
     }
 
-    /** When the last of the tasks on the machine should have ended. */
+    /** When the last task on the machine is expected to end. */
     private long freeAtMicros(FreeCapacity capacity) {
-        long atMicros = nowMicros;
+        long endMicros = nowMicros;
         for (TaskView task : capacity.machine.allocation().tasks()) {
-            atMicros = Math.max(atMicros, task.expectedEndMicros(nowMicros));
+            endMicros = Math.max(endMicros, task.expectedEndMicros(nowMicros));
         }
-        return atMicros;
+        return endMicros;
     }
 }
--- a/src/main/java/org/weldcourse/admission/GangShape.java
+++ b/src/main/java/org/weldcourse/admission/GangShape.java
@@ -3,7 +3,10 @@
 import java.util.List;
 import org.weldcourse.jobs.JobSpec;
 
-/** What decides whether a gang finds places. When one found none, its like need not look in the same cycle. */
+/**
+ * Everything except its number of tasks that determines whether a gang can be placed. If one gang cannot, others of the
+ * same shape with as many tasks or more are skipped in this cycle.
+ */
 record GangShape(
         String team,
         JobSpec.Priority priority,
--- a/src/main/java/org/weldcourse/admission/JobDeadlines.java
+++ b/src/main/java/org/weldcourse/admission/JobDeadlines.java
@@ -7,12 +7,17 @@
 import org.weldcourse.settings.Settings.ServiceLevelObjective;
 import org.weldcourse.settings.Settings.ServiceLevelObjective.Kind;
 
-/** What the service-level objectives of a job's class, and its own deadline, mean for the job. Times are in microseconds. */
+/**
+ * Computes a job's deadlines from its own deadline and its class's service-level objectives. Times are in microseconds.
+ */
 final class JobDeadlines {
-    /** Estimates err and machines boot late: plan to be done after this part of the time allowed. */
-    private static final double DUE_SHARE = 0.85;
-    /** Without any time to keep to, a job should be done within this many times its own estimate. */
-    private static final int ESTIMATES_ALLOWED = 4;
+    /**
+     * Jobs are planned to end after this fraction of the allowed time, since estimates are inexact and machines may
+     * boot late.
+     */
+    private static final double DUE_FRACTION = 0.85;
+    /** A job without a deadline or completion objective is due after this many times its estimated run time. */
+    private static final int DEFAULT_DUE_ESTIMATES = 4;
 
     private final List<ServiceLevelObjective> objectives;
     private final RunTimeEstimator runTimes;
@@ -23,13 +28,13 @@
     }
 
     /**
-     * Until when the job has to be admitted to meet each objective for its start, and the last one for its end, the
-     * soonest first: later than that the objective is missed for certain. Of the time for a start, commands and images
-     * take a part; an array that has started has met it or not.
+     * The latest admission times that still meet each start objective and the latest completion objective, in ascending
+     * order. A quarter of the time for a start is left for commands and fetching images. Start objectives no longer
+     * matter for an array that has started.
      */
-    long[] admissionMicros(Job job, boolean started) {
-        long endWithinMicros = 0;
-        LongStream.Builder admitBy = LongStream.builder();
+    long[] admissionDeadlinesMicros(Job job, boolean started) {
+        long completionWithinMicros = 0;
+        LongStream.Builder deadlines = LongStream.builder();
         for (ServiceLevelObjective objective : objectives) {
             if (!objective.jobClass().equals(job.spec().jobClass())) {
                 continue;
@@ -37,27 +42,27 @@
             switch (objective.kind()) {
                 case START -> {
                     if (job.spec().isGang() || !started) {
-                        admitBy.add(job.acceptedMicros() + objective.withinMicros() * 3 / 4);
+                        deadlines.add(job.acceptedMicros() + objective.withinMicros() * 3 / 4);
                     }
                 }
-                case COMPLETION -> endWithinMicros = Math.max(endWithinMicros, objective.withinMicros());
+                case COMPLETION -> completionWithinMicros = Math.max(completionWithinMicros, objective.withinMicros());
                 case DEADLINE ->
-                    endWithinMicros = Math.max(endWithinMicros, (long)
+                    completionWithinMicros = Math.max(completionWithinMicros, (long)
                             (job.spec().deadlineMicros() * Math.max(1, objective.deadlineFactor())));
             }
         }
-        if (endWithinMicros > 0) {
-            admitBy.add(job.acceptedMicros() + endWithinMicros - runTimes.expectedMicros(job));
+        if (completionWithinMicros > 0) {
+            deadlines.add(job.acceptedMicros() + completionWithinMicros - runTimes.expectedMicros(job));
         }
-        return admitBy.build().sorted().toArray();
+        return deadlines.build().sorted().toArray();
     }
 
-    /** Until when a task of the job should start; services go by age. */
+    /** The latest start of a task for the job to be done when it is due; for services, the time of acceptance. */
     long latestStartMicros(Job job) {
         return job.spec().isService() ? job.acceptedMicros() : dueMicros(job) - runTimes.expectedMicros(job);
     }
 
-    /** When the job should be done: well before its deadline, or the time that its class's objective allows. */
+    /** When the job should be done: well before the earlier of its deadline and its class's completion objective. */
     long dueMicros(Job job) {
         long withinMicros = job.spec().deadlineMicros();
         for (ServiceLevelObjective objective : objectives) {
@@ -68,8 +73,8 @@
             }
         }
         if (withinMicros == 0) {
-            withinMicros = ESTIMATES_ALLOWED * job.spec().estimatedRunMicros();
+            withinMicros = DEFAULT_DUE_ESTIMATES * job.spec().estimatedRunMicros();
         }
-        return job.acceptedMicros() + (long) (withinMicros * DUE_SHARE);
+        return job.acceptedMicros() + (long) (withinMicros * DUE_FRACTION);
     }
 }
--- a/src/main/java/org/weldcourse/admission/MachinePreemption.java
+++ b/src/main/java/org/weldcourse/admission/MachinePreemption.java
@@ -8,7 +8,7 @@
 import org.weldcourse.fleet.MachineType;
 import org.weldcourse.jobs.JobSpec;
 
-/** Preemption on one machine: which tasks may be stopped for a job, and what room that makes for it. */
+/** Preemption on a single machine: which tasks may be stopped for a job, and how many of its tasks fit then. */
 final class MachinePreemption {
     private final Map<String, TeamUsage> usages;
     private final long nowMicros;
@@ -19,20 +19,20 @@
     }
 
     /**
-     * A machine's offer to a job: so many tasks, for the work that preempting the victims would lose.
+     * A way to place tasks of a job on one machine by preempting tasks there.
      *
-     * @param tasks how many of the job's tasks fit once the victims have left, at least 1
+     * @param tasks how many of the job's tasks fit once the victims have exited, at least 1
      * @param victims the tasks to preempt, in the order in which they were chosen
-     * @param cost CPU-seconds: the work that the victims lose, plus what the machine costs the job itself
+     * @param cost CPU-seconds: the work lost by the victims, plus the job's own cost on this machine
      */
-    record Offer(FreeCapacity capacity, int tasks, List<TaskView> victims, double cost) {
+    record PlacementOption(FreeCapacity capacity, int tasks, List<TaskView> victims, double cost) {
         double costPerTask() {
             return cost / tasks;
         }
     }
 
-    /** Whether a look at the machine for work to preempt could find any. */
-    boolean mayFindVictims(JobView job, boolean claimsGuarantee, FreeCapacity capacity) {
+    /** A cheap check whether the machine may have tasks that the job can preempt. */
+    boolean mayHaveVictims(JobView job, boolean claimsGuarantee, FreeCapacity capacity) {
         return claimsGuarantee
                 || capacity.machine.allocation().hasVictimFor(job.spec().priority());
     }
@@ -42,19 +42,24 @@
                 job.spec(), job.spec().isGang() ? job.pending().cardinality() : 1);
     }
 
-    /** What the machine offers for so many tasks, or null; {@code ownCost} is what it costs without any victim. */
-    Offer offer(JobView job, TeamUsage usage, FreeCapacity capacity, int tasks, double ownCost) {
+    /**
+     * How the machine can hold {@code tasks} tasks of the job, or as many as possible, with few victims.
+     *
+     * @param baseCost the cost without victims
+     * @return null if no task fits
+     */
+    PlacementOption optionOn(JobView job, TeamUsage usage, FreeCapacity capacity, int tasks, double baseCost) {
         JobSpec spec = job.spec();
         int bestFits = capacity.fits(spec);
         int chosen = 0;
-        double bestCost = ownCost;
+        double bestCost = baseCost;
         List<TaskView> candidates = List.of();
         if (bestFits < tasks) {
             candidates = preemptible(job, usage, capacity);
             double cpus = capacity.cpus;
             double gpus = capacity.gpus;
             double memoryGb = capacity.memoryGb;
-            double cost = ownCost;
+            double cost = baseCost;
             for (int i = 0; i < candidates.size() && bestFits < tasks; i++) {
                 TaskView victim = candidates.get(i);
                 cpus += victim.job().cpus();
@@ -72,18 +77,18 @@
                 }
             }
         }
-        return bestFits == 0 ? null : new Offer(capacity, bestFits, candidates.subList(0, chosen), bestCost);
+        return bestFits == 0 ? null : new PlacementOption(capacity, bestFits, candidates.subList(0, chosen), bestCost);
     }
 
     /**
-     * Tasks on the machine that may be stopped for this job: what leaves anyway first, then the least work lost.
-     * What a team runs within its guarantee yields to other teams only by priority, and only to a team that claims
-     * its own guarantee; or a borrower of high priority and an owner of low priority would preempt each other for ever.
+     * Tasks on the machine that may be stopped for this job, in preemption order. Tasks within their team's guarantee
+     * are preempted by another team only if they have lower priority and the other team claims its own guarantee.
+     * Otherwise a high-priority borrower and a low-priority guaranteed team would preempt each other forever.
      */
     private List<TaskView> preemptible(JobView job, TeamUsage usage, FreeCapacity capacity) {
         boolean claimsGuarantee = claimsGuarantee(job, usage);
         List<TaskView> candidates = new ArrayList<>();
-        PreemptedByTeam taken = new PreemptedByTeam();
+        PreemptedByTeam chosenByTeam = new PreemptedByTeam();
         for (TaskView task : capacity.machine.allocation().tasks()) {
             if (capacity.victims.contains(task)
                     || task.job().id().equals(job.spec().id())) {
@@ -91,13 +96,13 @@
             }
             boolean ownTeam = task.job().team().equals(job.spec().team());
             boolean lowerPriority = task.job().priority().compareTo(job.spec().priority()) > 0;
-            TeamUsage other = usages.get(task.job().team());
-            boolean borrowed = !ownTeam && other != null && taken.usesGuaranteeWithout(other, task.job());
+            TeamUsage owner = usages.get(task.job().team());
+            boolean borrowed = !ownTeam && owner != null && chosenByTeam.usesGuaranteeWithout(owner, task.job());
             if (task.terminating()
                     || lowerPriority && (ownTeam || borrowed || claimsGuarantee)
                     || claimsGuarantee && borrowed) {
                 candidates.add(task);
-                taken.add(other, task.job());
+                chosenByTeam.add(owner, task.job());
             }
         }
         return candidates;
--- a/src/main/java/org/weldcourse/admission/PlacementOrder.java
+++ b/src/main/java/org/weldcourse/admission/PlacementOrder.java
@@ -3,11 +3,11 @@
 import java.util.List;
 import org.weldcourse.jobs.JobSpec;
 
-/** In which order machines are filled: the cheapest first, of those what nobody else needs, with the image, fullest. */
+/** The order in which machines are filled: cheapest, not needed for start objectives, image cached, fullest. */
 final class PlacementOrder {
     private PlacementOrder() {}
 
-    /** Puts the machines that suit the job best first. */
+    /** Sorts the machines by preference for the job, best first. */
     static void sort(List<FreeCapacity> capacities, JobSpec spec) {
         if (spec.isService()) {
             ReplicaPlacement.sort(capacities, spec);
@@ -26,8 +26,8 @@
     }
 
     private static int comparePreference(FreeCapacity a, FreeCapacity b) {
-        if (a.priceStep != b.priceStep) {
-            return Integer.compare(a.priceStep, b.priceStep);
+        if (a.priceTier != b.priceTier) {
+            return Integer.compare(a.priceTier, b.priceTier);
         }
         if (a.neededForStartSlo != b.neededForStartSlo) {
             return Boolean.compare(a.neededForStartSlo, b.neededForStartSlo);
--- a/src/main/java/org/weldcourse/admission/Planner.java
+++ b/src/main/java/org/weldcourse/admission/Planner.java
@@ -7,9 +7,9 @@
 import org.weldcourse.cluster.Snapshot.TaskView;
 
 /**
- * One admission cycle, as a pure function of a snapshot. Team by team the heads of the queues are weighed: priority
- * first, then teams within their guarantee before teams that borrow, then age. Each booking changes what the
- * later ones find. Gangs are placed whole or not at all, arrays as far as quota and room go.
+ * One admission cycle, as a pure function of a snapshot. Jobs are admitted in the order of {@link AdmissionQueues};
+ * each booking changes the capacity and quota left for later jobs. Gangs are placed as a whole or not at all, arrays as
+ * far as quota and capacity allow.
  */
 public final class Planner {
     private final CycleLimits cycleLimits;
@@ -29,15 +29,19 @@
     }
 
     /**
-     * What the records have room for, and how far ahead arrays are booked.
+     * Limits of one cycle: the size of admission records, and how far ahead arrays are booked.
      *
-     * @param maxTasksPerAdmission the most tasks of one job in one admission record
-     * @param maxAdmissions the most admissions in one cycle; once they are made, no further task is asked to stop
-     * @param lookaheadMicros arrays are also booked on room that should be free within so many microseconds
+     * @param maxTasksPerAdmission the maximum number of tasks in one admission record
+     * @param maxAdmissions the maximum number of admissions in one cycle; after the last one, no further task is
+     *     preempted
+     * @param lookaheadMicros arrays are also booked on capacity that is expected to be free within this time
      */
     public record CycleLimits(int maxTasksPerAdmission, int maxAdmissions, long lookaheadMicros) {}
 
-    /** Decides on one admission cycle. What is booked is taken out of the jobs' pending tasks; else the snapshot stays. */
+    /**
+     * Decides one admission cycle. Booked tasks are removed from the jobs' pending tasks; the snapshot is otherwise
+     * unchanged.
+     */
     public static CycleDecisions decide(Snapshot snapshot, CycleLimits cycleLimits) {
         Planner planner = new Planner(snapshot, cycleLimits);
         planner.run(snapshot.jobs());
@@ -64,16 +68,16 @@
             pendingTasks.add(new CycleDecisions.PendingTasks(job.spec(), wanted, true));
             return;
         }
-        // What is reserved counts as used already: it is given back while its own job looks for room.
+        // Reserved quota already counts as used, so it is returned while its own job is being placed.
         usage.charge(job.spec(), -job.quotaReservedTasks());
         int stillReserved = Math.max(0, job.quotaReservedTasks() - place(job, usage, wanted));
         usage.charge(job.spec(), stillReserved);
     }
 
-    /** Admits as much of the job as its team's limit and the room allow, and tells how many tasks now count as used. */
+    /** Admits as much of the job as quota and capacity allow, and returns how many of its tasks now count as used. */
     private int place(JobView job, TeamUsage usage, int wanted) {
-        // What is reserved fits for certain, also where a job before this one waits for the limit and keeps room
-        // to itself: each would else wait for the other.
+        // Tasks with reserved quota always fit, even if an earlier job reserves quota while it waits for the limit.
+        // Otherwise the two jobs would wait for each other.
         int withinLimits = Math.max(job.quotaReservedTasks(), usage.tasksWithinLimits(job.spec()));
         return job.spec().isGang()
                 ? placeGang(job, usage, wanted, withinLimits)
@@ -97,10 +101,10 @@
     private int placeArray(JobView job, TeamUsage usage, int wanted, int withinLimits) {
         int withinGuarantee = Math.min(wanted, usage.tasksWithinGuarantee(job.spec()));
         if (job.spec().isService() && withinLimits < wanted) {
-            // Its own team's lower priorities would else keep a lost replica out for as long as they have work.
+            // Otherwise lower priorities of the same team could keep a lost replica from restarting indefinitely.
             preemptForQuota(job, usage, wanted);
         } else if (usage.tasksWithinCohortLimit(job.spec()) < withinGuarantee) {
-            // Others of the cohort have borrowed what the team now claims.
+            // Other teams of the cohort have borrowed the guarantee that this team claims now.
             preemptForQuota(job, usage, withinGuarantee);
         }
         int allowed = Math.min(wanted, withinLimits);
@@ -114,16 +118,15 @@
     }
 
     /**
-     * Quota limits stand in the way of so many tasks of the job: preempt as much as is missing, or nothing if that is not
-     * enough.
-     * The team's own limit is made room under by its own work of lower priority alone, its cohort's also by what other teams
-     * borrow.
+     * Preempts tasks so that {@code tasks} tasks of the job fit under the quota limits, or none if that is impossible.
+     * Only lower-priority tasks of the same team are preempted for the team's limit; for the cohort's limit also tasks
+     * of teams that borrow.
      */
     private void preemptForQuota(JobView job, TeamUsage usage, int tasks) {
         QuotaPreemption quota = new QuotaPreemption(job, usage, tasks, bookings.usages(), nowMicros);
         for (FreeCapacity capacity : bookings.capacities()) {
             for (TaskView task : capacity.machine.allocation().tasks()) {
-                quota.consider(capacity, task);
+                quota.addCandidate(capacity, task);
             }
         }
         quota.choose().forEach(victim -> bookings.preempt(victim.capacity(), victim.task()));
--- a/src/main/java/org/weldcourse/admission/QuotaPreemption.java
+++ b/src/main/java/org/weldcourse/admission/QuotaPreemption.java
@@ -9,36 +9,36 @@
 import org.weldcourse.fleet.MachineType;
 import org.weldcourse.jobs.JobSpec;
 
-/** Chooses the tasks to preempt so that a job fits under the quota limits of its team and its team's cohort. */
+/** Chooses tasks to preempt so that a job fits under the limits of its team and of the team's cohort. */
 final class QuotaPreemption {
     private final JobView job;
     private final TeamUsage usage;
     private final Map<String, TeamUsage> usages;
     private final long nowMicros;
     private final boolean claimsGuarantee;
-    private final Missing missingOwn;
-    private final Missing missingInCohort;
-    private final List<Victim> own = new ArrayList<>();
-    private final List<Victim> others = new ArrayList<>();
+    private final Shortfall teamShortfall;
+    private final Shortfall cohortShortfall;
+    private final List<Candidate> teamCandidates = new ArrayList<>();
+    private final List<Candidate> cohortCandidates = new ArrayList<>();
 
-    /** A task that may be stopped, and the machine that it is booked on. */
-    record Victim(FreeCapacity capacity, TaskView task) {}
+    /** A task that may be preempted, and the machine that it is booked on. */
+    record Candidate(FreeCapacity capacity, TaskView task) {}
 
-    /** What has to be freed under one limit. */
-    private static final class Missing {
+    /** The amount that has to be freed under one limit. */
+    private static final class Shortfall {
         private double cpus;
         private double gpus;
 
-        Missing(JobSpec job, int tasks) {
+        Shortfall(JobSpec job, int tasks) {
             cpus = job.cpus() * Math.max(0, tasks);
             gpus = job.gpus() * Math.max(0, tasks);
         }
 
-        boolean isNothing() {
+        boolean isCovered() {
             return cpus <= MachineType.EPSILON && gpus <= MachineType.EPSILON;
         }
 
-        void free(JobSpec victim) {
+        void subtract(JobSpec victim) {
             cpus -= victim.cpus();
             gpus -= victim.gpus();
         }
@@ -50,55 +50,58 @@
         this.usages = usages;
         this.nowMicros = nowMicros;
         this.claimsGuarantee = usage.staysWithinGuarantee(job.spec(), tasks);
-        this.missingOwn = new Missing(job.spec(), tasks - usage.tasksWithinTeamLimit(job.spec()));
-        this.missingInCohort = new Missing(job.spec(), tasks - usage.tasksWithinCohortLimit(job.spec()));
+        this.teamShortfall = new Shortfall(job.spec(), tasks - usage.tasksWithinTeamLimit(job.spec()));
+        this.cohortShortfall = new Shortfall(job.spec(), tasks - usage.tasksWithinCohortLimit(job.spec()));
     }
 
-    /** Takes note of a booked task. */
-    void consider(FreeCapacity capacity, TaskView task) {
+    /** Adds a booked task to the candidates if it may be preempted for the job. */
+    void addCandidate(FreeCapacity capacity, TaskView task) {
         JobSpec spec = task.job();
         boolean lowerPriority = spec.priority().compareTo(job.spec().priority()) > 0;
         if (spec.team().equals(job.spec().team())) {
             if (lowerPriority) {
-                own.add(new Victim(capacity, task));
+                teamCandidates.add(new Candidate(capacity, task));
             }
         } else if ((lowerPriority || claimsGuarantee || task.terminating())
                 && usage.sharesCohortWith(usages.get(spec.team()))) {
-            others.add(new Victim(capacity, task));
+            cohortCandidates.add(new Candidate(capacity, task));
         }
     }
 
-    /** The tasks to stop: what leaves anyway first, then the least work lost. None, if all of them would not do. */
-    List<Victim> choose() {
-        Comparator<Victim> order = Comparator.comparing((Victim victim) -> !victim.task.terminating())
+    /**
+     * The tasks to preempt: terminating ones first, then the least work lost. Empty if all candidates together do not
+     * suffice.
+     */
+    List<Candidate> choose() {
+        Comparator<Candidate> order = Comparator.comparing((Candidate victim) -> !victim.task.terminating())
                 .thenComparingLong(victim -> victim.task.lostWorkMicros(nowMicros));
-        own.sort(order);
-        others.sort(order);
-        List<Victim> chosen = new ArrayList<>();
-        for (Victim victim : own) {
-            if (!missingOwn.isNothing() || !missingInCohort.isNothing()) {
+        teamCandidates.sort(order);
+        cohortCandidates.sort(order);
+        List<Candidate> chosen = new ArrayList<>();
+        for (Candidate victim : teamCandidates) {
+            if (!teamShortfall.isCovered() || !cohortShortfall.isCovered()) {
                 chosen.add(victim);
-                missingOwn.free(victim.task.job());
-                missingInCohort.free(victim.task.job());
+                teamShortfall.subtract(victim.task.job());
+                cohortShortfall.subtract(victim.task.job());
             }
         }
         chooseBorrowed(chosen);
-        return missingOwn.isNothing() && missingInCohort.isNothing() ? chosen : List.of();
+        return teamShortfall.isCovered() && cohortShortfall.isCovered() ? chosen : List.of();
     }
 
-    /** What other teams run within their guarantees stays. */
-    private void chooseBorrowed(List<Victim> chosen) {
-        PreemptedByTeam taken = new PreemptedByTeam();
-        for (Victim victim : others) {
-            if (missingInCohort.isNothing()) {
+    /** Chooses tasks of other teams that borrow, and leaves those within their team's guarantee. */
+    private void chooseBorrowed(List<Candidate> chosen) {
+        PreemptedByTeam chosenByTeam = new PreemptedByTeam();
+        for (Candidate victim : cohortCandidates) {
+            if (cohortShortfall.isCovered()) {
                 return;
             }
             JobSpec spec = victim.task.job();
-            TeamUsage lender = usages.get(spec.team());
-            if (victim.task.terminating() || taken.usesGuaranteeWithout(lender, spec)) {
-                taken.add(lender, spec);
+            TeamUsage borrower = usages.get(spec.team());
+            if (victim.task.terminating() || chosenByTeam.usesGuaranteeWithout(borrower, spec)) {
+                chosenByTeam.add(borrower, spec);
                 chosen.add(victim);
-                missingInCohort.free(spec);
+                cohortShortfall.subtract(spec);
             }
         }
     }
--- a/src/main/java/org/weldcourse/admission/ReplicaPlacement.java
+++ b/src/main/java/org/weldcourse/admission/ReplicaPlacement.java
@@ -7,39 +7,40 @@
 import org.weldcourse.jobs.JobSpec;
 
 /**
- * Chooses machines for the replicas of a service: where they start soon, so that the loss of one machine takes few of them,
- * and so that few machines are held by replicas alone.
+ * Places the replicas of a service: on machines where they start quickly, spread so that the loss of one machine stops
+ * only a few of them, and with few machines kept in use by replicas alone.
  */
 final class ReplicaPlacement {
-    /** Of so many machines each holds its part of a service's replicas. */
+    /** A service's replicas are spread evenly over at least this many machines, if possible. */
     private static final int MACHINES_PER_SERVICE = 3;
 
-    /** A machine with more than this part of all replicas takes no more of them while there are others. */
-    private static final int MACHINES_FOR_ALL = 6;
-    /** Below this many on one machine the part of all replicas does not matter. */
+    /** A machine that runs at least one in this many of all services' replicas is less preferred than others. */
+    private static final int MIN_MACHINES_FOR_ALL_REPLICAS = 6;
+    /** Below this many replicas on a machine, its share of all replicas does not matter. */
     private static final int FEW_REPLICAS = 6;
-    /** An image that is fetched within this time hardly delays a start. */
+    /** A fetch of an image within this time counts as a short delay of the start. */
     private static final double SHORT_FETCH_SECONDS = 3;
 
     private ReplicaPlacement() {}
 
     /**
-     * Sorts machines by preference: those that start a replica soonest, which stopping a gang does not, of these the ones
-     * that hold replicas already, and then the ones that cost least as a whole: a machine with a single replica can't be
-     * returned for as long as its service runs.
+     * Sorts machines by preference: those that start a replica soonest (stopping a gang takes longest), then those that
+     * run replicas already, then the cheapest per hour. A machine with a single replica cannot be released while its
+     * service runs, so its whole price counts.
      */
     static void sort(List<FreeCapacity> capacities, JobSpec spec) {
-        int all = 0;
+        int totalReplicas = 0;
         for (FreeCapacity capacity : capacities) {
-            all += capacity.replicas;
+            totalReplicas += capacity.replicas;
         }
-        int maxOnMachine = Math.max(FEW_REPLICAS, (all + MACHINES_FOR_ALL - 1) / MACHINES_FOR_ALL);
+        int maxOnMachine = Math.max(
+                FEW_REPLICAS, (totalReplicas + MIN_MACHINES_FOR_ALL_REPLICAS - 1) / MIN_MACHINES_FOR_ALL_REPLICAS);
         List<Candidate> candidates = new ArrayList<>(capacities.size());
         for (FreeCapacity capacity : capacities) {
             candidates.add(new Candidate(
                     capacity,
                     preemptsGang(capacity, spec),
-                    fetchStep(capacity.fetchSeconds(spec)),
+                    fetchTier(capacity.fetchSeconds(spec)),
                     capacity.replicas >= maxOnMachine));
         }
         candidates.sort(Candidate::comparePreference);
@@ -48,19 +49,19 @@
         }
     }
 
-    /** A machine, with what its preference follows from: worked out once, compared often. */
-    private record Candidate(FreeCapacity capacity, boolean preemptsGang, int fetchStep, boolean hasItsPart) {
+    /** A machine with its sort keys precomputed. */
+    private record Candidate(FreeCapacity capacity, boolean preemptsGang, int fetchTier, boolean atReplicaShare) {
         int comparePreference(Candidate other) {
             FreeCapacity a = capacity;
             FreeCapacity b = other.capacity;
             if (preemptsGang != other.preemptsGang) {
                 return Boolean.compare(preemptsGang, other.preemptsGang);
             }
-            if (fetchStep != other.fetchStep) {
-                return Integer.compare(fetchStep, other.fetchStep);
+            if (fetchTier != other.fetchTier) {
+                return Integer.compare(fetchTier, other.fetchTier);
             }
-            if (hasItsPart != other.hasItsPart) {
-                return Boolean.compare(hasItsPart, other.hasItsPart);
+            if (atReplicaShare != other.atReplicaShare) {
+                return Boolean.compare(atReplicaShare, other.atReplicaShare);
             }
             if ((a.replicas == 0) != (b.replicas == 0)) {
                 return Boolean.compare(a.replicas == 0, b.replicas == 0);
@@ -74,7 +75,7 @@
         }
     }
 
-    /** Tasks stand in the order in which they would be preempted: where the first is a gang's, no other is. */
+    /** Whether a replica would have to preempt a gang. Tasks are in preemption order, so the first one decides. */
     private static boolean preemptsGang(FreeCapacity capacity, JobSpec spec) {
         List<Snapshot.TaskView> tasks = capacity.machine.allocation().tasks();
         return capacity.fits(spec) == 0
@@ -82,7 +83,7 @@
                 && tasks.get(0).job().isGang();
     }
 
-    private static int fetchStep(double fetchSeconds) {
+    private static int fetchTier(double fetchSeconds) {
         if (fetchSeconds <= 0) {
             return 0;
         }
@@ -90,30 +91,29 @@
     }
 
     /**
-     * Spreads a service's replicas, in the order of the machines: an equal part of them on each at most, as long as there
-     * are enough. What then finds no place is left to be packed as arrays are. Counts what it takes in
-     * {@code tasksByMachine} and takes it from the budget of zones.
+     * Spreads a service's replicas over the machines in their order, with at most an equal share on each. The rest is
+     * left for bin packing. Placed replicas are added to {@code tasksByMachine} and charged to the zone budget.
      *
-     * @return how many replicas found no place
+     * @return the number of replicas that were not placed
      */
-    static int scatter(
+    static int spread(
             JobSpec spec,
             List<FreeCapacity> capacities,
             ZoneBudget zones,
             Map<FreeCapacity, Integer> tasksByMachine,
             int wanted) {
-        int each = (spec.tasks() + MACHINES_PER_SERVICE - 1) / MACHINES_PER_SERVICE;
+        int maxOnMachine = (spec.tasks() + MACHINES_PER_SERVICE - 1) / MACHINES_PER_SERVICE;
         int left = wanted;
         for (FreeCapacity capacity : capacities) {
             String zone = capacity.machine.zone();
-            int maxInZone = Math.min(left, zones.left(zone));
+            int maxInZone = Math.min(left, zones.remaining(zone));
             if (maxInZone <= 0) {
                 continue;
             }
-            int taken = Math.min(maxInZone, Math.min(each - capacity.replicasOf(spec), capacity.fits(spec)));
+            int taken = Math.min(maxInZone, Math.min(maxOnMachine - capacity.replicasOf(spec), capacity.fits(spec)));
             if (taken > 0) {
                 tasksByMachine.merge(capacity, taken, Integer::sum);
-                zones.take(zone, taken);
+                zones.consume(zone, taken);
                 left -= taken;
             }
         }
--- a/src/main/java/org/weldcourse/admission/SnapshotBuilder.java
+++ b/src/main/java/org/weldcourse/admission/SnapshotBuilder.java
@@ -15,20 +15,20 @@
 import org.weldcourse.quota.enforcement.QuotaEnforcement;
 import org.weldcourse.settings.Settings;
 
-/** Makes the snapshot of the cluster that one admission cycle decides on. */
+/** Builds the snapshot of the cluster that is the input of one admission cycle. */
 public final class SnapshotBuilder {
     private final ClusterState cluster;
     private final QuotaEnforcement quotas;
     private final long heartbeatTimeoutMicros;
     private final JobDeadlines deadlines;
 
-    /** Which machines are needed by classes of jobs that have an objective for their start. */
+    /** Tells which machines are needed by job classes with a start objective. */
     public interface StartSloPriority {
-        /** The highest priority of such classes that need this machine, or null when none does. */
+        /** The highest priority among the job classes that need this machine, or null if none does. */
         JobSpec.Priority of(Machine machine);
     }
 
-    /** A builder that reads the cluster and its teams' limits anew for each snapshot. */
+    /** Creates a builder that reads the current cluster state and team limits for each snapshot. */
     public SnapshotBuilder(ClusterState cluster, Settings settings, QuotaEnforcement quotas) {
         this.quotas = quotas;
         this.cluster = cluster;
@@ -36,7 +36,7 @@
         this.deadlines = new JobDeadlines(settings.objectives(), cluster.runTimes);
     }
 
-    /** What a cycle decides on now: machines that may be booked, jobs with tasks to place, and what teams use. */
+    /** Builds a snapshot of the schedulable machines, the jobs with pending tasks and the usage of the teams. */
     public Snapshot snapshot(long nowMicros, StartSloPriority startSloPriority) {
         List<MachineView> machines = new ArrayList<>(cluster.machines.size());
         for (Machine machine : cluster.machines.values()) {
@@ -62,7 +62,7 @@
                         job.pendingTasks(),
                         job.acceptedMicros(),
                         started,
-                        deadlines.admissionMicros(job, started),
+                        deadlines.admissionDeadlinesMicros(job, started),
                         deadlines.latestStartMicros(job),
                         cluster.runTimes.expectedMicros(job),
                         zones,
@@ -73,7 +73,7 @@
         return new Snapshot(nowMicros, machines, jobs, teams);
     }
 
-    /** How long a machine may be silent and still get new work, in microseconds. */
+    /** How long after its last heartbeat a machine may still get new tasks, in microseconds. */
     public long heartbeatTimeoutMicros() {
         return heartbeatTimeoutMicros;
     }
--- a/src/main/java/org/weldcourse/admission/TeamUsage.java
+++ b/src/main/java/org/weldcourse/admission/TeamUsage.java
@@ -5,29 +5,31 @@
 import org.weldcourse.fleet.MachineType;
 import org.weldcourse.jobs.JobSpec;
 
-/** What a team uses of its guarantee and limit as a cycle books tasks for it. */
+/** A team's usage of its guarantee and limit during one admission cycle. */
 final class TeamUsage {
     private final TeamView team;
     private double cpus;
     private double gpus;
 
-    /** What waiting jobs claim of the guarantee, where there is a cohort. */
+    /** The part of the guarantee that is claimed for waiting jobs; zero without a cohort. */
     private double claimedCpus;
 
     private double claimedGpus;
-    /** What its cohort uses as a cycle books tasks, or null. */
+    /** The usage of the team's cohort, or null without a cohort. */
     private final CohortUsage cohort;
 
-    /** What a cohort's teams use together; one for all of them. */
+    /** The usage of a cohort during one cycle, shared by all of its teams. */
     static final class CohortUsage {
         private final Snapshot.CohortView view;
         private double cpus;
         private double gpus;
-        /** What jobs that wait for the cohort's limit keep from others of the same standing. */
+        /**
+         * Reserved for jobs that wait for the cohort's limit; not available to jobs that exceed their team's guarantee.
+         */
         private double reservedCpus;
 
         private double reservedGpus;
-        /** What teams lack of their guarantees and have jobs waiting for. */
+        /** The sum of the teams' claims on their guarantees for waiting jobs. */
         private double claimedCpus;
 
         private double claimedGpus;
@@ -57,8 +59,8 @@
     }
 
     /**
-     * How many tasks of the job fit under the cohort's limit. What a team claims of its guarantee is kept from those who
-     * borrow, whatever their priority: they would else refill what they were preempted from before the claim is served.
+     * How many tasks of the job fit under the cohort's limit. Claimed guarantees are not available to borrowers of any
+     * priority: otherwise a preempted borrower could take the quota again before the claiming team uses it.
      */
     int tasksWithinCohortLimit(JobSpec job) {
         if (cohort == null) {
@@ -74,21 +76,21 @@
                         freeGpus - cohort.reservedGpus - (cohort.claimedGpus - claimedGpus));
     }
 
-    /** A job of the team waits for so many tasks: what its guarantee covers of them is claimed. */
+    /** Claims the part of the guarantee that a waiting job's tasks need. */
     void claimGuarantee(JobSpec job, int tasks) {
         if (cohort != null) {
-            double moreCpus =
+            double addedCpus =
                     Math.min(job.cpus() * tasks, Math.max(0, team.team().cpus() - cpus - claimedCpus));
-            double moreGpus =
+            double addedGpus =
                     Math.min(job.gpus() * tasks, Math.max(0, team.team().gpus() - gpus - claimedGpus));
-            claimedCpus += moreCpus;
-            claimedGpus += moreGpus;
-            cohort.claimedCpus += moreCpus;
-            cohort.claimedGpus += moreGpus;
+            claimedCpus += addedCpus;
+            claimedGpus += addedGpus;
+            cohort.claimedCpus += addedCpus;
+            cohort.claimedGpus += addedGpus;
         }
     }
 
-    /** Keeps room for a job that waits for a limit, so that later ones don't overtake it. */
+    /** Reserves quota for a job that waits for a limit, so that later jobs do not overtake it. */
     void reserve(JobSpec job, int tasks) {
         boolean waitsForCohort = tasksWithinTeamLimit(job) >= tasks;
         cpus += job.cpus() * tasks;
@@ -99,15 +101,15 @@
         }
     }
 
-    /** What was claimed for tasks is theirs once they are booked. */
-    private void settleClaim(JobSpec job, int tasks) {
+    /** Releases the claim for tasks that are now booked. */
+    private void releaseClaim(JobSpec job, int tasks) {
         if (cohort != null && tasks > 0) {
-            double servedCpus = Math.min(claimedCpus, job.cpus() * tasks);
-            double servedGpus = Math.min(claimedGpus, job.gpus() * tasks);
-            claimedCpus -= servedCpus;
-            claimedGpus -= servedGpus;
-            cohort.claimedCpus -= servedCpus;
-            cohort.claimedGpus -= servedGpus;
+            double releasedCpus = Math.min(claimedCpus, job.cpus() * tasks);
+            double releasedGpus = Math.min(claimedGpus, job.gpus() * tasks);
+            claimedCpus -= releasedCpus;
+            claimedGpus -= releasedGpus;
+            cohort.claimedCpus -= releasedCpus;
+            cohort.claimedGpus -= releasedGpus;
         }
     }
 
@@ -123,24 +125,24 @@
         return cohort != null && other != null && cohort == other.cohort;
     }
 
-    /** Whether the least that can be admitted of the job, a whole gang or one task, stays within the guarantee. */
+    /** Whether the smallest unit that can be admitted, a whole gang or one task, stays within the guarantee. */
     boolean canStartWithinGuarantee(JobSpec job) {
         return staysWithinGuarantee(job, job.isGang() ? job.tasks() : 1);
     }
 
-    /** Whether the team would use no more than its guarantee with so many more tasks of the job. */
+    /** Whether the team stays within its guarantee with this many more tasks of the job. */
     boolean staysWithinGuarantee(JobSpec job, int tasks) {
         return cpus + job.cpus() * tasks <= team.team().cpus() + MachineType.EPSILON
                 && gpus + job.gpus() * tasks <= team.team().gpus() + MachineType.EPSILON;
     }
 
-    /** Whether the team still has its whole guarantee in use after giving up so much. */
+    /** Whether the team still uses its whole guarantee after losing this amount. */
     boolean usesGuaranteeWithout(double cpusLess, double gpusLess) {
         return cpus - cpusLess >= team.team().cpus() - MachineType.EPSILON
                 && gpus - gpusLess >= Math.min(gpus, team.team().gpus()) - MachineType.EPSILON;
     }
 
-    /** How many tasks of the job the team may claim as part of its guarantee. */
+    /** How many more tasks of the job fit within the team's guarantee. */
     int tasksWithinGuarantee(JobSpec job) {
         return fits(job, team.team().cpus() - cpus, team.team().gpus() - gpus);
     }
@@ -149,9 +151,9 @@
         return team.team().cpus() > 0;
     }
 
-    /** Counts so many tasks of the job as used, or gives them back when the number is below 0. */
+    /** Adds tasks of the job to the usage; a negative number subtracts them. */
     void charge(JobSpec job, int tasks) {
-        settleClaim(job, tasks);
+        releaseClaim(job, tasks);
         cpus += job.cpus() * tasks;
         gpus += job.gpus() * tasks;
         if (cohort != null) {
--- a/src/main/java/org/weldcourse/admission/ZoneBudget.java
+++ b/src/main/java/org/weldcourse/admission/ZoneBudget.java
@@ -3,17 +3,17 @@
 import java.util.Map;
 import org.weldcourse.jobs.JobSpec;
 
-/** In which zones a job's tasks may still be placed, and how many: all in one zone, spread over zones, or anywhere. */
+/** How many more tasks of a job may be placed in each zone: all in one zone, spread over zones, or anywhere. */
 final class ZoneBudget {
     private final JobSpec spec;
     private final String onlyZone;
     private final Map<String, Integer> tasksByZone;
 
     /**
-     * A budget that counts on from what is placed already.
+     * Creates a budget for a job whose placed tasks are counted in {@code tasksByZone}.
      *
      * @param onlyZone the zone that all tasks must be in, or null
-     * @param tasksByZone the job's tasks by zone; what is placed is added to it
+     * @param tasksByZone the number of the job's tasks by zone; tasks placed later are added to this map
      */
     ZoneBudget(JobSpec spec, String onlyZone, Map<String, Integer> tasksByZone) {
         this.spec = spec;
@@ -21,15 +21,15 @@
         this.tasksByZone = tasksByZone;
     }
 
-    /** How many more tasks the zone may take; none when it is not above 0. */
-    int left(String zone) {
+    /** How many more tasks may be placed in the zone; zero or negative means none. */
+    int remaining(String zone) {
         if (onlyZone != null && !onlyZone.equals(zone)) {
             return 0;
         }
         return spec.maxTasksPerZone() - tasksByZone.getOrDefault(zone, 0);
     }
 
-    void take(String zone, int tasks) {
+    void consume(String zone, int tasks) {
         tasksByZone.merge(zone, tasks, Integer::sum);
     }
 }
--- a/src/main/java/org/weldcourse/admission/package-info.java
+++ b/src/main/java/org/weldcourse/admission/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Admission decisions: the pure planner, which decides on a snapshot of the cluster whom to admit where by bin packing
- * and gang scheduling, and whom to preempt.
+ * Admission decisions: a pure planner that takes a snapshot of the cluster and decides which tasks to admit on which
+ * machines, by bin packing and gang scheduling, and which tasks to preempt.
  */
 package org.weldcourse.admission;
--- a/src/main/java/org/weldcourse/cluster/AttemptBookings.java
+++ b/src/main/java/org/weldcourse/cluster/AttemptBookings.java
@@ -4,15 +4,15 @@
 import java.util.List;
 import java.util.Map;
 
-/** Booking of an admitted attempt, the same for the leader and for its warm-up. */
+/** Books the tasks of an admitted attempt. The leader and the standby's warm-up share this code. */
 public final class AttemptBookings {
     private AttemptBookings() {}
 
     /**
-     * Books an attempt of a job's tasks as the planner admitted them.
+     * Books a job's tasks on the machines that the planner chose.
      *
-     * @param tasks the indexes of the tasks by the name of the machine that they are booked on
-     * @return the bookings, not yet on record
+     * @param tasks task indexes by machine name
+     * @return the bookings, which are not persisted yet
      */
     public static List<Booking> book(
             ClusterState cluster, Job job, int attempt, Map<String, int[]> tasks, long nowMicros) {
--- a/src/main/java/org/weldcourse/cluster/Booking.java
+++ b/src/main/java/org/weldcourse/cluster/Booking.java
@@ -4,8 +4,9 @@
 import org.weldcourse.workers.TaskState;
 
 /**
- * A task's place on a machine, from its admission until there is evidence that it is gone from there. It counts against the
- * machine's room and the team's quota for all that time. Times are microseconds of the event loop's clock.
+ * The reservation of machine resources for one attempt of a task. It counts against the machine's capacity and the
+ * team's quota from admission until it is released for a {@link ReleaseReason}. Times are in microseconds of the event
+ * loop's clock.
  */
 public final class Booking {
     private final Job job;
@@ -25,7 +26,7 @@
     private long runningSinceMicros = -1;
     private boolean startObserved;
 
-    /** A booking that is not on record yet. */
+    /** Creates a booking that is not persisted yet. */
     Booking(Job job, int task, int attempt, Machine machine, long bookedMicros) {
         this.job = job;
         this.task = task;
@@ -45,88 +46,97 @@
         return task;
     }
 
-    /** The name of the task in heartbeats, commands and logs. */
+    /** The id of the task in heartbeats, commands and logs. */
     public TaskId taskId() {
         return taskId;
     }
 
-    /** The number of the attempt, counted up for all tasks of the job. */
+    /** The attempt number, which increases across all tasks of the job. */
     public int attempt() {
         return attempt;
     }
 
-    /** The machine whose room it holds. */
+    /** The machine that the task is booked on. */
     public Machine machine() {
         return machine;
     }
 
-    /** When it was booked. */
+    /** When the task was booked. */
     public long bookedMicros() {
         return bookedMicros;
     }
 
-    /** Whether the store holds the admission; before that the task must not run. */
+    /** Whether the admission is in the store; until then the task must not start. */
     public boolean isPersisted() {
         return persisted;
     }
 
-    /** The store holds the admission now. */
+    /** Records that the admission is in the store. */
     public void markPersisted() {
         persisted = true;
     }
 
-    /** The key of the record that holds the admission, or null before it is known. */
+    /** The key of the record that contains the admission, or null if not known yet. */
     public String recordKey() {
         return recordKey;
     }
 
-    /** The admission is held by the record under this key, be it moved there or written for the first time. */
+    /** Sets the key of the record that contains the admission, when it is first written or moved to another record. */
     public void setRecordKey(String key) {
         recordKey = key;
     }
 
-    /** Whether the machine listed the task at least once under this leader. */
+    /** Whether a heartbeat to this leader has listed the task. */
     public boolean isReported() {
         return reported;
     }
 
-    /** Whether a start went out in answer to the machine's last heartbeat, so that the task may be there unreported. */
+    /** Whether the response to the last heartbeat told the machine to start the task, which may thus run unreported. */
     public boolean isStartSent() {
         return startSent;
     }
 
-    /** The state that the machine reported last, or null before the first time. */
+    /** The last reported state, or null before the first report. */
     public TaskState state() {
         return state;
     }
 
-    /** Whether the machine reported it as running, or as saving its checkpoint. */
+    /** Whether the task is reported as running or saving its checkpoint. */
     public boolean isRunning() {
         return state == TaskState.RUNNING || state == TaskState.SAVING_CHECKPOINT;
     }
 
-    /** When it was first reported as running, or -1. */
+    /** When the task was first reported as running, or -1. */
     public long runningSinceMicros() {
         return runningSinceMicros;
     }
 
-    /** Whether this leader started it from its beginning, so that the time since it was first seen running is all that it ran. */
+    /**
+     * Whether this leader started the task without a checkpoint to resume from, so that its observed run time is
+     * complete.
+     */
     boolean isStartObserved() {
         return startObserved;
     }
 
-    /** A start goes out in answer to the heartbeat at hand. */
+    /** Records that the response to the current heartbeat contains a start command. */
     public void markStartSent() {
         startSent = true;
         startObserved = job.spec().checkpointIntervalMicros() == 0 || attempt == 1;
     }
 
-    /** A newer heartbeat does not list it: a start that went out before is not on its way any more. */
+    /**
+     * Records that a newer heartbeat does not list the task, so that an earlier start command is no longer in flight.
+     */
     public void clearStartSent() {
         startSent = false;
     }
 
-    /** The machine lists it in this state, which is not {@link TaskState#EXITED}; true when it began to run, so that its length can be foretold. */
+    /**
+     * Records the reported state, which is not {@link TaskState#EXITED}.
+     *
+     * @return whether the task has just begun to run, so that its end can be estimated
+     */
     public boolean updateState(TaskState newState, long nowMicros) {
         boolean wasRunning = isRunning();
         reported = true;
@@ -146,35 +156,38 @@
         return false;
     }
 
-    /** Whether its end was asked for: by its user, for preemption or before its machine is reclaimed. */
+    /**
+     * Whether the task is to be stopped: cancelled by its user, preempted, or on a machine that is about to be
+     * reclaimed.
+     */
     public boolean isStopRequested() {
         return stopRequested;
     }
 
-    /** How long it is given to save its checkpoint once it is told to stop. */
+    /** The time for saving a checkpoint after the stop command. */
     public long gracePeriodMicros() {
         return gracePeriodMicros;
     }
 
-    /** Whether a stop went out since its end was last asked for. */
+    /** Whether a stop command was sent since the last stop request. */
     public boolean isStopSent() {
         return stopSent;
     }
 
     /**
-     * Whether its machine has to be told to stop it: what was told to start may be there before any heartbeat shows it, and
-     * none may come.
+     * Whether a stop command has to be sent. This includes a task that was told to start but is not reported yet: it
+     * may already run, and its heartbeat may never arrive.
      */
     public boolean needsStopCommand() {
         return stopRequested && (reported || startSent) && !stopSent;
     }
 
-    /** A stop goes out to the machine. */
+    /** Records that a stop command was sent. */
     public void markStopSent() {
         stopSent = true;
     }
 
-    /** Asks for its end; a longer grace that was asked for before is kept unless this one says none. */
+    /** Requests a stop. The grace period of an earlier request stays in force, unless the new one is zero. */
     public void requestStop(long newGracePeriodMicros) {
         if (!stopRequested || newGracePeriodMicros == 0 && gracePeriodMicros != 0) {
             gracePeriodMicros = newGracePeriodMicros;
--- a/src/main/java/org/weldcourse/cluster/ClusterState.java
+++ b/src/main/java/org/weldcourse/cluster/ClusterState.java
@@ -14,12 +14,12 @@
 import org.weldcourse.workers.TaskState;
 import org.weldcourse.workers.TaskStatus;
 
-/** All that a leader knows during one term: open jobs, machines, and which task is booked or seen where. */
+/** The leader's in-memory state during one term: open jobs, machines, bookings and reported tasks. */
 public final class ClusterState {
     private static final Logger LOG = LoggerFactory.getLogger(ClusterState.class);
-    private static final int MACHINES_TO_BLAME_JOB = 3;
-    private static final long FIRST_BACKOFF_MICROS = 5_000_000;
-    /** A job must not be left waiting for 90 s where there is room, be it for its own faults. */
+    private static final int FAILED_MACHINES_BEFORE_BACKOFF = 3;
+    private static final long INITIAL_BACKOFF_MICROS = 5_000_000;
+    /** A job must not wait 90 s while there is free capacity, even if its own tasks fail. */
     private static final long MAX_BACKOFF_MICROS = 60_000_000;
 
     private static final long REFUSED_BACKOFF_MICROS = 1_000_000;
@@ -28,21 +28,23 @@
     public final Map<String, Job> jobs = new HashMap<>();
     public final Map<String, Machine> machines = new HashMap<>();
     public final RunTimeEstimator runTimes = new RunTimeEstimator();
-    /** Where a task was last reported on a machine and not exited. */
+    /** The machine that last reported a task as present and not exited. */
     private final Map<TaskId, Machine> machineByPresentTask = new HashMap<>();
-    /** What counts against each team's limit, kept as it comes and goes: no cycle has to add it all up. */
+    /**
+     * The usage that counts against each team's limit, updated incrementally so that no cycle has to sum all bookings.
+     */
     public final QuotaUsage quotaUsage = new QuotaUsage();
-    /** Jobs that are over while some of their tasks are still booked. */
+    /** Closed jobs that still have booked tasks. */
     public final Map<String, Job> outstandingJobs = new HashMap<>();
-    /** Tasks on machines whose job nobody here knows. */
+    /** Reported tasks whose job is not known. */
     private int tasksOfUnknownJobs;
 
-    /** How many tasks are on machines whose job is not known, so that no team can be charged for them. */
+    /** The number of reported tasks whose job is not known, so that they cannot be charged to a team. */
     public int tasksOfUnknownJobs() {
         return tasksOfUnknownJobs;
     }
 
-    /** The machine of this name, which becomes known with this call if it is not. */
+    /** Returns the machine of this name and adds it if it is not known yet. */
     public Machine getOrAddMachine(String name, long nowMicros) {
         return machines.computeIfAbsent(name, unknown -> new Machine(unknown, nowMicros));
     }
@@ -53,9 +55,9 @@
         job.addBooking(booking);
         Booking earlier = machine.bookings.put(booking.taskId(), booking);
         if (earlier != null) {
-            // What it stood for counts on: nothing has shown that it is gone.
+            // The earlier attempt's quota stays charged: nothing shows that its task is gone.
             LOG.error(
-                    "{} attempt {} is booked over attempt {} on {}",
+                    "{} attempt {} replaces the booking of attempt {} on {}",
                     booking.taskId(),
                     attempt,
                     earlier.attempt(),
@@ -66,7 +68,7 @@
         return booking;
     }
 
-    /** Takes a booking off its machine and its job, without a word on what became of the task. */
+    /** Removes a booking from its machine and its job without requeuing the task. */
     public void discard(Booking booking) {
         booking.job().removeBooking(booking.task());
         if (booking.machine().bookings.remove(booking.taskId(), booking)) {
@@ -75,14 +77,17 @@
         }
     }
 
-    /** There is evidence that the task is not on the machine, or it was never told to run there. */
-    public void release(Booking booking, ReleaseReason evidence, long nowMicros) {
+    /**
+     * Releases a booking whose task is known not to be on the machine, or was never told to start there, and requeues
+     * the task unless it is done. If a gang lost a task this way, the rest of the gang is evicted.
+     */
+    public void release(Booking booking, ReleaseReason reason, long nowMicros) {
         Machine machine = booking.machine();
         Job job = booking.job();
         if (machine.bookings.remove(booking.taskId(), booking)) {
             quotaUsage.removeBooked(job.spec());
             machine.invalidateAllocation();
-            LOG.debug("{} attempt {} is free of {}: {}", booking.taskId(), booking.attempt(), machine.name, evidence);
+            LOG.debug("{} attempt {} released from {}: {}", booking.taskId(), booking.attempt(), machine.name, reason);
         }
         if (machine.bookings.isEmpty()) {
             machine.idleSinceMicros = nowMicros;
@@ -99,14 +104,14 @@
         }
     }
 
-    /** Ends what is left of a job's present attempts. */
+    /** Requests a stop of all booked tasks of a job. */
     public void evict(Job job, long graceMicros) {
         for (Booking booking : job.bookings()) {
             booking.requestStop(graceMicros);
         }
     }
 
-    /** The task exited on its machine for this cause. */
+    /** Processes the exit of a task on its machine, and releases its booking. */
     public void taskExited(Booking booking, ExitCause cause, long nowMicros) {
         switch (cause) {
             case DONE -> taskSucceeded(booking, nowMicros);
@@ -141,13 +146,14 @@
             job.markDone(booking.task());
         }
         if (job.spec().isService() && ranMicros < SHORT_RUN_MICROS) {
-            // A replica should not end at all; one that always does at once must not spin.
-            long pauseMicros = REFUSED_BACKOFF_MICROS << Math.min(6, job.countError() - 1);
-            job.backOffUntil(nowMicros + Math.min(MAX_BACKOFF_MICROS, pauseMicros));
+            // A replica is not expected to exit. Back off so that one that always exits at once is not restarted in a
+            // loop.
+            long backoffMicros = REFUSED_BACKOFF_MICROS << Math.min(6, job.incrementErrors() - 1);
+            job.backOffUntil(nowMicros + Math.min(MAX_BACKOFF_MICROS, backoffMicros));
         } else {
             job.clearErrors();
         }
-        // Only a run seen from its start tells its length, and a checkpoint would hide some of it.
+        // The run time is known only if the start was observed; a run resumed from a checkpoint would look too short.
         if (booking.runningSinceMicros() >= 0 && booking.isStartObserved()) {
             runTimes.recordRun(job, ranMicros);
         }
@@ -160,25 +166,25 @@
         machine.failedJobs.add(job.spec().id());
         machine.successesSinceError = 0;
         job.excludedMachines().add(machine.name);
-        int errors = job.countError();
-        if (job.excludedMachines().size() >= MACHINES_TO_BLAME_JOB) {
-            // Failing everywhere speaks against the job: try again ever more seldom, on any machine.
-            long pauseMicros = FIRST_BACKOFF_MICROS << Math.min(10, errors);
-            job.backOffUntil(nowMicros + Math.min(MAX_BACKOFF_MICROS, pauseMicros));
+        int errors = job.incrementErrors();
+        if (job.excludedMachines().size() >= FAILED_MACHINES_BEFORE_BACKOFF) {
+            // Failures on several machines point to the job itself: retry with exponential backoff, on any machine.
+            long backoffMicros = INITIAL_BACKOFF_MICROS << Math.min(10, errors);
+            job.backOffUntil(nowMicros + Math.min(MAX_BACKOFF_MICROS, backoffMicros));
             job.excludedMachines().clear();
         }
     }
 
-    /** Replaces the tasks that the machine lists without a booking by those of its newest heartbeat. */
+    /** Replaces the machine's unbooked tasks by those of its newest heartbeat. */
     public void setUnbookedTasks(Machine machine, List<TaskStatus> tasks) {
         machine.unbookedTasks.clear();
         machine.unbookedTasks.addAll(tasks);
         if (tasks.isEmpty() && machine.unbookedTaskJobs.isEmpty()) {
             return;
         }
-        forgetUnbookedTasks(machine);
+        clearUnbookedTasks(machine);
         for (TaskStatus task : tasks) {
-            Job job = knownJob(task.id().jobId());
+            Job job = findJob(task.id().jobId());
             machine.unbookedTaskJobs.add(Optional.ofNullable(job));
             if (job == null) {
                 tasksOfUnknownJobs++;
@@ -189,12 +195,12 @@
         }
     }
 
-    private Job knownJob(String id) {
+    private Job findJob(String id) {
         Job open = jobs.get(id);
         return open == null ? outstandingJobs.get(id) : open;
     }
 
-    private void forgetUnbookedTasks(Machine machine) {
+    private void clearUnbookedTasks(Machine machine) {
         for (Optional<Job> job : machine.unbookedTaskJobs) {
             if (job.isEmpty()) {
                 tasksOfUnknownJobs--;
@@ -206,31 +212,31 @@
         machine.unbookedTaskJobs.clear();
     }
 
-    /** Replaces what is present on the machine by what its newest heartbeat lists and has not exited. */
+    /** Replaces the tasks that are present on the machine by those in its newest heartbeat that have not exited. */
     public void setPresentTasks(Machine machine, List<TaskStatus> tasks) {
-        Set<TaskId> before = machine.presentTasks;
-        Set<TaskId> now = new HashSet<>(tasks.size() * 2);
+        Set<TaskId> previous = machine.presentTasks;
+        Set<TaskId> current = new HashSet<>(tasks.size() * 2);
         for (TaskStatus task : tasks) {
             if (task.state() != TaskState.EXITED) {
-                now.add(task.id());
-                before.remove(task.id());
+                current.add(task.id());
+                previous.remove(task.id());
                 machineByPresentTask.put(task.id(), machine);
             }
         }
-        before.forEach(gone -> machineByPresentTask.remove(gone, machine));
-        machine.presentTasks = now;
+        previous.forEach(gone -> machineByPresentTask.remove(gone, machine));
+        machine.presentTasks = current;
     }
 
-    /** The machine on which the task was last seen, if any: nowhere else may it run. */
+    /** The machine that last reported the task, or null. The task must not be started on any other machine. */
     public Machine lastSeenOn(TaskId task) {
         return machineByPresentTask.get(task);
     }
 
-    /** The cloud said that the machine and all that was on it are gone. */
+    /** Removes a machine whose deletion the cloud has confirmed, and releases its bookings. */
     public void removeMachine(Machine machine, long nowMicros) {
         machines.remove(machine.name);
         machine.presentTasks.forEach(gone -> machineByPresentTask.remove(gone, machine));
-        forgetUnbookedTasks(machine);
+        clearUnbookedTasks(machine);
         for (Booking booking : new ArrayList<>(machine.bookings.values())) {
             release(booking, ReleaseReason.MACHINE_SCALED_IN, nowMicros);
         }
--- a/src/main/java/org/weldcourse/cluster/Job.java
+++ b/src/main/java/org/weldcourse/cluster/Job.java
@@ -10,8 +10,8 @@
 import org.weldcourse.jobs.JobSpec;
 
 /**
- * An open job as its leader sees it: what is finished, what is booked where, and what is left. Tasks go by their index.
- * Times are microseconds of the event loop's clock.
+ * The leader's state of a job: its finished, booked and pending tasks, each identified by its index. Times are in
+ * microseconds of the event loop's clock.
  */
 public final class Job {
     private static final long NEVER = -1;
@@ -22,11 +22,11 @@
     private final BitSet done = new BitSet();
     private final BitSet persistedDone = new BitSet();
     /**
-     * Finished tasks that stand only in admissions, where a version with larger records kept them: the next admission would
-     * be written without them.
+     * Finished tasks that only admission records list, where an earlier version with larger records stored them. The
+     * next admission would be written without them.
      */
-    private final BitSet doneInAdmissions = new BitSet();
-    /** Neither finished nor booked. */
+    private final BitSet doneOnlyInAdmissions = new BitSet();
+    /** Tasks that are neither finished nor booked. */
     private final BitSet pending = new BitSet();
 
     private final Int2ObjectHashMap<Booking> bookings = new Int2ObjectHashMap<>();
@@ -44,7 +44,9 @@
     private boolean outstandingPersisted;
     private boolean stale;
 
-    /** An accepted job of which nothing is booked or finished yet, whose own record is of this revision. */
+    /**
+     * Creates an accepted job without booked or finished tasks; {@code modRevision} is the revision of its job record.
+     */
     public Job(JobSpec spec, long modRevision, long acceptedMicros) {
         this.spec = spec;
         this.acceptedMicros = acceptedMicros;
@@ -52,34 +54,34 @@
         pending.set(0, spec.tasks());
     }
 
-    /** What its user asked for. */
+    /** The job as its user submitted it. */
     public JobSpec spec() {
         return spec;
     }
 
-    /** When it was accepted, as far as clocks tell. */
+    /** When the job was accepted. The clock of the accepting node may differ from this one's. */
     public long acceptedMicros() {
         return acceptedMicros;
     }
 
-    /** The records that the store holds of it. */
+    /** The job's records in the store. */
     public JobRecords records() {
         return records;
     }
 
     // Finished tasks
 
-    /** Whether this task has finished. */
+    /** Whether the task has finished. */
     public boolean isDone(int task) {
         return done.get(task);
     }
 
-    /** Whether any of its tasks has finished. */
+    /** Whether any task has finished. */
     public boolean hasDoneTasks() {
         return !done.isEmpty();
     }
 
-    /** How many of its tasks have finished. */
+    /** The number of finished tasks. */
     public int doneCount() {
         return done.cardinality();
     }
@@ -89,12 +91,12 @@
         return (BitSet) done.clone();
     }
 
-    /** Whether all of its tasks have finished. */
+    /** Whether all tasks have finished. */
     public boolean allDone() {
         return done.cardinality() == spec.tasks();
     }
 
-    /** When all of its tasks were first found to be done: now, if nobody has asked before. */
+    /** When all tasks were first found to be done. The first call sets it to {@code nowMicros}. */
     public long doneSinceMicros(long nowMicros) {
         if (doneSinceMicros == NEVER) {
             doneSinceMicros = nowMicros;
@@ -102,51 +104,58 @@
         return doneSinceMicros;
     }
 
-    /** This task has finished. */
+    /** Marks a task as finished. */
     void markDone(int task) {
         done.set(task);
         pending.clear(task);
     }
 
-    /** All of its tasks have finished, or are not wanted any more. */
+    /** Marks all tasks as finished, also those that are no longer needed. */
     public void markAllDone() {
         done.set(0, spec.tasks());
         pending.clear();
     }
 
-    /** A record says that this task has finished; {@code staysOnRecord}: the next write of that record will say so too. */
+    /**
+     * Marks a task as finished because a record says so.
+     *
+     * @param staysOnRecord whether the next write of that record will still contain it
+     */
     public void restoreDone(int task, boolean staysOnRecord) {
         markDone(task);
         if (staysOnRecord) {
             persistedDone.set(task);
-            doneInAdmissions.clear(task);
+            doneOnlyInAdmissions.clear(task);
         } else if (!persistedDone.get(task)) {
-            doneInAdmissions.set(task);
+            doneOnlyInAdmissions.set(task);
         }
     }
 
-    /** The store holds that these tasks have finished: their workers may be told to forget them. */
+    /** Marks finished tasks as persisted, so that their workers may be told to forget them. */
     public void markDonePersisted(BitSet tasks) {
         persistedDone.or(tasks);
-        doneInAdmissions.andNot(tasks);
+        doneOnlyInAdmissions.andNot(tasks);
     }
 
-    /** The finished tasks that the store holds, from one task to before another, counted from the first. */
+    /**
+     * The persisted finished tasks from {@code from} (inclusive) to {@code to} (exclusive), as offsets from {@code
+     * from}.
+     */
     public BitSet persistedDone(int from, int to) {
         return persistedDone.get(from, to);
     }
 
-    /** Whether tasks have finished that are on no record yet. */
+    /** Whether some finished tasks are not persisted yet. */
     public boolean hasUnpersistedDone() {
         return persistedDone.cardinality() != done.cardinality();
     }
 
-    /** Whether finished tasks have to be put on record elsewhere before the job may be admitted anew. */
+    /** Whether finished tasks have to be moved to other records before the job may be admitted again. */
     public boolean mustMoveDoneToShards() {
-        return !doneInAdmissions.isEmpty();
+        return !doneOnlyInAdmissions.isEmpty();
     }
 
-    /** Whether a worker may be told to forget this attempt: no leader would ever run it again. */
+    /** Whether a worker may be told to forget this attempt, because no leader can start it again. */
     public boolean mayForget(int task, int attempt) {
         if (closed || persistedDone.get(task)) {
             return true;
@@ -157,17 +166,17 @@
 
     // Bookings
 
-    /** Its bookings, as a view that follows them; {@link ClusterState} alone books and releases. */
+    /** A live view of the job's bookings. Only {@link ClusterState} adds and removes bookings. */
     public Collection<Booking> bookings() {
         return bookings.values();
     }
 
-    /** The booking of this task, or null. */
+    /** The booking of the task, or null. */
     public Booking booking(int task) {
         return bookings.get(task);
     }
 
-    /** How many of its tasks are booked in each zone; a zone that is not known yet is {@code "null"}. */
+    /** The number of booked tasks by zone. A machine whose zone is not known yet counts under {@code "null"}. */
     public Map<String, Integer> tasksByZone() {
         Map<String, Integer> zones = new HashMap<>();
         for (Booking booking : bookings.values()) {
@@ -176,12 +185,12 @@
         return zones;
     }
 
-    /** The highest attempt that was given out. */
+    /** The highest attempt number assigned so far. */
     public int lastAttempt() {
         return lastAttempt;
     }
 
-    /** This attempt was given out, be it by a leader before. */
+    /** Records that an attempt number is in use, assigned by this leader or an earlier one. */
     public void recordAttempt(int attempt) {
         lastAttempt = Math.max(lastAttempt, attempt);
     }
@@ -196,12 +205,12 @@
         bookings.remove(task);
     }
 
-    /** The task is to be booked again. */
+    /** Returns a task to the pending tasks. */
     void requeue(int task) {
         pending.set(task);
     }
 
-    /** How many of its tasks are neither finished nor booked. */
+    /** The number of tasks that are neither finished nor booked. */
     public int pendingCount() {
         return pending.cardinality();
     }
@@ -211,17 +220,17 @@
         return (BitSet) pending.clone();
     }
 
-    /** Counts tasks of it that machines list without a booking. */
+    /** Adds to the number of the job's tasks that machines report without a booking. */
     void addUnbookedTasks(int difference) {
         unbookedTasks += difference;
     }
 
-    /** Whether some of its tasks may still be on machines. */
+    /** Whether some tasks may still be on machines. */
     public boolean mayBeOnMachines() {
         return !bookings.isEmpty() || unbookedTasks > 0;
     }
 
-    /** A gang may only be booked anew once nothing of its last attempt is left anywhere. */
+    /** Whether pending tasks may be booked now. A gang may not until all bookings of its last attempt are released. */
     public boolean canBeBooked(long nowMicros) {
         return !cancelled
                 && !records.isWriteInFlight()
@@ -236,13 +245,13 @@
 
     // Failures and run times
 
-    /** Machines on which a task of it failed of late: others are tried first. */
+    /** Names of machines on which tasks of the job failed recently; no task is booked there. */
     public Set<String> excludedMachines() {
         return excludedMachines;
     }
 
-    /** Counts an error, and says how many there have been without a success. */
-    int countError() {
+    /** Counts an error and returns the number of errors since the last success. */
+    int incrementErrors() {
         return ++consecutiveErrors;
     }
 
@@ -250,7 +259,7 @@
         consecutiveErrors = 0;
     }
 
-    /** Nothing of it is booked before then. */
+    /** Delays further bookings until this time. */
     void backOffUntil(long micros) {
         backoffUntilMicros = micros;
     }
@@ -260,74 +269,74 @@
         finishedRunMicros += ranMicros;
     }
 
-    boolean hasRuns() {
+    boolean hasFinishedRuns() {
         return finishedRuns > 0;
     }
 
-    /** How long its tasks ran on average; there must have been some. */
+    /** The mean run time of finished tasks; at least one must have finished. */
     long meanRunMicros() {
         return finishedRunMicros / finishedRuns;
     }
 
-    // Its end
+    // Cancellation and closing
 
-    /** Whether its user cancelled it. */
+    /** Whether the user cancelled the job. */
     public boolean isCancelled() {
         return cancelled;
     }
 
-    /** Its record says that its user cancelled it. */
+    /** Marks the job as cancelled by its user, as its record says. */
     public void cancel() {
         cancelled = true;
     }
 
-    /** Whether the commit of its end is under way. */
+    /** Whether the transaction that closes the job is in flight. */
     public boolean isClosing() {
         return closing;
     }
 
-    /** The commit of its end is under way. */
+    /** Marks the transaction that closes the job as in flight. */
     public void beginClosing() {
         closing = true;
     }
 
-    /** The commit of its end was refused. */
+    /** Marks the transaction that closes the job as refused. */
     public void abortClosing() {
         closing = false;
     }
 
-    /** Whether it is over, by its record. */
+    /** Whether the job's record says that it is closed. */
     public boolean isClosed() {
         return closed;
     }
 
-    /** It is over, by its record. */
+    /** Marks the job as closed, as its record says. */
     public void markClosed() {
         closed = true;
         closing = false;
     }
 
-    /** Whether what may still be on machines although the job is over is on record. */
+    /** Whether the tasks that may still be on machines after the job was closed are persisted. */
     public boolean isOutstandingPersisted() {
         return outstandingPersisted;
     }
 
-    /** What may still be on machines although the job is over goes on record. */
+    /** Marks the tasks that may still be on machines after the job was closed as persisted. */
     public void markOutstandingPersisted() {
         outstandingPersisted = true;
     }
 
-    /** Whether its record has to be read again; until then nothing is decided about it. */
+    /** Whether the job's record must be read again before any further decision about the job. */
     public boolean isStale() {
         return stale;
     }
 
-    /** Its record is not what was thought. */
+    /** Marks the in-memory state as out of date with the job's record. */
     public void markStale() {
         stale = true;
     }
 
-    /** Its record was read again. */
+    /** Marks the in-memory state as up to date with the job's record. */
     public void markFresh() {
         stale = false;
     }
--- a/src/main/java/org/weldcourse/cluster/JobRecords.java
+++ b/src/main/java/org/weldcourse/cluster/JobRecords.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** The records that the store holds of a job, with their mod revisions, and the write of them that is under way. */
+/** A job's records in the store with their mod revisions, and the state of the write that is in flight. */
 public final class JobRecords {
     private final Map<String, Long> revisions = new TreeMap<>();
     private long jobRevision;
@@ -18,76 +18,76 @@
         this.jobRevision = jobRevision;
     }
 
-    /** The revision of the job's own record, under {@code open/}. */
+    /** The revision of the job record, under {@code open/}. */
     public long jobRevision() {
         return jobRevision;
     }
 
-    /** The job's own record was read as of this revision. */
+    /** Sets the revision at which the job record was read. */
     public void setJobRevision(long modRevision) {
         jobRevision = modRevision;
     }
 
-    /** The keys of its other records, in their order. */
+    /** The keys of the job's other records, in ascending order. */
     public Set<String> keys() {
         return Collections.unmodifiableSet(revisions.keySet());
     }
 
-    /** Whether there is such a record. */
+    /** Whether a record with this key exists. */
     public boolean contains(String key) {
         return revisions.containsKey(key);
     }
 
-    /** Whether there is none besides the job's own. */
+    /** Whether there is no record besides the job record. */
     public boolean isEmpty() {
         return revisions.isEmpty();
     }
 
-    /** The revision of this record, or 0 when there is none. */
+    /** The revision of the record with this key, or 0 if it does not exist. */
     public long revision(String key) {
         return revisions.getOrDefault(key, 0L);
     }
 
-    /** A record was read as of this revision, which comes from the write of this number. */
+    /** Restores a record that was read at this revision, and that the write of this number produced. */
     public void restore(String key, long modRevision, int writeNumber) {
         revisions.put(key, modRevision);
         lastWriteNumber = Math.max(lastWriteNumber, writeNumber);
     }
 
-    /** All records were read anew. */
+    /** Replaces the known records after all of them were read again. */
     public void replaceAll(Map<String, Long> newRevisions) {
         revisions.clear();
         revisions.putAll(newRevisions);
     }
 
-    /** Numbers a write: by its number, one without an answer is told from others. */
+    /** Returns the number for the next write. The number identifies a write whose outcome is unknown. */
     public int nextWriteNumber() {
         return ++lastWriteNumber;
     }
 
-    /** Whether a write is under way; the next one needs to know what came of it. */
+    /** Whether a write is in flight; the next write needs its outcome. */
     public boolean isWriteInFlight() {
         return writeInFlight;
     }
 
-    /** A write is sent. */
+    /** Records that a write was sent. */
     public void writeSent(long nowMicros) {
         writeInFlight = true;
         lastWriteMicros = nowMicros;
     }
 
-    /** The write under way was applied. */
+    /** Records that the store applied the write in flight. */
     public void writeApplied(Collection<String> keys, long modRevision) {
         keys.forEach(key -> revisions.put(key, modRevision));
         writeInFlight = false;
     }
 
-    /** The write under way was refused. */
+    /** Records that the store refused the write in flight. */
     public void writeRefused() {
         writeInFlight = false;
     }
 
-    /** When a write was last sent, or 0. */
+    /** When the last write was sent, or 0. */
     public long lastWriteMicros() {
         return lastWriteMicros;
     }
--- a/src/main/java/org/weldcourse/cluster/Machine.java
+++ b/src/main/java/org/weldcourse/cluster/Machine.java
@@ -14,77 +14,80 @@
 import org.weldcourse.workers.TaskId;
 import org.weldcourse.workers.TaskStatus;
 
-/** A machine as the leader sees it, from its rental (or first sign of life) until its release is answered. */
+/** The leader's state of a machine, from its rental (or first heartbeat) until the cloud confirms its deletion. */
 public final class Machine {
-    private static final int LOST_ANSWERS_TO_CORDON = 2;
+    private static final int LOST_RESPONSES_TO_CORDON = 2;
 
     public final String name;
     public String address;
     public MachineType type;
     public String zone;
     public boolean spot;
-    /** When it was rented as far as known, else when this leader first heard of it. */
+    /** When the machine was rented, if known; else when this leader first learned of it. */
     public long rentedMicros;
 
-    /** Of its worker, as of the last heartbeat that counted; 0 before the first one. */
+    /** The worker's incarnation in the last accepted heartbeat; 0 before the first one. */
     public long incarnation;
 
     public long heartbeatSequence = -1;
-    /** When its last heartbeat that counted came, or -1. */
+    /** When the last accepted heartbeat arrived, or -1. */
     public long lastHeartbeatMicros = -1;
-    /** It has reported under this leader's token: its list of tasks can be relied on. */
+    /** Whether the machine has reported under this leader's fencing token, so that its task list can be relied on. */
     public boolean reconciled;
 
     public long reclaimAtMicros = Long.MAX_VALUE;
-    /** The cloud was asked to delete it. Nothing new starts on it, and its tasks hold their room until that is confirmed. */
+    /**
+     * Whether deletion was requested. Nothing starts on the machine any more; bookings stay until the cloud confirms
+     * it.
+     */
     public boolean deleting;
 
     public boolean reportedFailed;
-    /** By the cloud's word, which lags. */
+    /** Whether the cloud's machine list, which lags, shows the machine as starting. */
     public boolean starting;
 
     public long idleSinceMicros;
-    /** Answers in a row that its next heartbeat showed not to have arrived, and since when. */
-    private int lostAnswers;
+    /** Consecutive heartbeat responses that did not reach the worker, as its next heartbeats showed. */
+    private int consecutiveLostResponses;
 
-    private long answersLostSinceMicros;
+    private long responsesLostSinceMicros;
     private long lastLostResponseMicros;
     public long firstHeartbeatMicros = -1;
     public final Map<TaskId, Booking> bookings = new HashMap<>();
-    /** What the last heartbeat listed without a booking; it holds room until it exits. */
+    /** Tasks that the last heartbeat listed without a booking; they count as usage until they exit. */
     public final List<TaskStatus> unbookedTasks = new ArrayList<>();
 
-    /** The jobs of those tasks as far as they are known. */
+    /** The jobs of the unbooked tasks; empty for a job that is not known. */
     final List<Optional<Job>> unbookedTaskJobs = new ArrayList<>();
 
     public final Set<String> failedJobs = new HashSet<>();
     public int successesSinceError;
-    /** Exited tasks of the last heartbeat that the worker was not yet told to forget. */
+    /** Exited tasks in the last heartbeat that the worker has not been told to forget yet. */
     public final List<TaskStatus> exitedTasks = new ArrayList<>();
-    /** It may have something to be told that should not wait for its next heartbeat. */
+    /** Whether there may be commands that should not wait for the next heartbeat. */
     public boolean hasUnsentCommands;
-    /** A direct message is on its way; a second one waits for its answer. */
+    /** Whether a direct command request is in flight; the next one waits for its response. */
     public boolean directCommandsInFlight;
-    /** What its last heartbeat that counted showed to be on it. */
+    /** The tasks that the last accepted heartbeat listed as not exited. */
     Set<TaskId> presentTasks = new HashSet<>();
-    /** What cycles see of its bookings; null when it has to be made anew. */
+    /** Cached allocation for snapshots; null when it must be computed again. */
     private Snapshot.Allocation allocation;
-    /** Images that it should hold with their sizes, the latest used last. */
+    /** Sizes in GB of the images that should be in the machine's cache, most recently used last. */
     private final LinkedHashMap<String, Double> images = new LinkedHashMap<>();
 
-    /** A machine known by its name alone. */
+    /** Creates a machine of which only the name is known. */
     public Machine(String name, long nowMicros) {
         this.name = name;
         this.rentedMicros = nowMicros;
         this.idleSinceMicros = nowMicros;
     }
 
-    /** Its bookings, their states or its images are not what they were. */
+    /** Discards the cached allocation after a change of bookings, task states or images. */
     public void invalidateAllocation() {
         allocation = null;
     }
 
-    /** Most machines are as they were at the last cycle: only the others are looked at again. */
+    /** The resources taken by bookings. It is cached because most machines do not change from one cycle to the next. */
     public Snapshot.Allocation allocation(RunTimeEstimator runTimes) {
         if (allocation == null) {
             double cpus = 0;
@@ -110,7 +113,7 @@
         return allocation;
     }
 
-    /** Whether tasks may be booked on it. */
+    /** Whether tasks may be booked on this machine. */
     public boolean isSchedulable() {
         return reconciled
                 && !isCordoned()
@@ -120,48 +123,48 @@
                 && reclaimAtMicros == Long.MAX_VALUE;
     }
 
-    /** An answer to one of its heartbeats did not reach it, though its heartbeats reach us. */
+    /** Records that the response to a heartbeat did not reach the worker, although its heartbeats arrive here. */
     public void recordLostResponse(long nowMicros) {
-        if (lostAnswers++ == 0) {
-            answersLostSinceMicros = nowMicros;
+        if (consecutiveLostResponses++ == 0) {
+            responsesLostSinceMicros = nowMicros;
         }
         lastLostResponseMicros = nowMicros;
     }
 
-    /** A heartbeat showed that an answer reached it. */
+    /** Records that a heartbeat response reached the worker. */
     public void recordDeliveredResponse() {
-        lostAnswers = 0;
+        consecutiveLostResponses = 0;
     }
 
-    /** When the last answer got lost, or -1 when they arrive as far as known. */
+    /** When the last response was lost, or -1 if responses are known or assumed to arrive. */
     public long lastLostResponseMicros() {
-        return lostAnswers == 0 ? -1 : lastLostResponseMicros;
+        return consecutiveLostResponses == 0 ? -1 : lastLostResponseMicros;
     }
 
     /**
-     * Whether nothing is placed or started on it because answers got lost. One may on any day; when several do, no
-     * command can be counted on to reach it.
+     * Whether nothing is booked or started here because heartbeat responses were lost. A single loss is tolerated;
+     * after several, commands cannot be expected to reach the worker.
      */
     public boolean isCordoned() {
-        return lostAnswers >= LOST_ANSWERS_TO_CORDON;
+        return consecutiveLostResponses >= LOST_RESPONSES_TO_CORDON;
     }
 
-    /** Whether it has been cordoned and its answers lost for so long. */
+    /** Whether the machine is cordoned and its responses have been lost for longer than this. */
     public boolean isCordonedFor(long micros, long nowMicros) {
-        return isCordoned() && nowMicros - answersLostSinceMicros > micros;
+        return isCordoned() && nowMicros - responsesLostSinceMicros > micros;
     }
 
     public boolean isUp() {
         return lastHeartbeatMicros >= 0;
     }
 
-    /** Whether a heartbeat is newer than the last one that counted. */
+    /** Whether a heartbeat is newer than the last accepted one. */
     public boolean isNewer(Heartbeat heartbeat) {
         return heartbeat.incarnation() > incarnation
                 || heartbeat.incarnation() == incarnation && heartbeat.sequence() > heartbeatSequence;
     }
 
-    /** Notes that a task got its image; the least recently used ones fall out of the cache. */
+    /** Adds a task's image to the cache and removes the least recently used ones that no longer fit. */
     public void cacheImage(String image, double gb) {
         invalidateAllocation();
         images.remove(image);
@@ -176,7 +179,7 @@
         }
     }
 
-    /** The images that it should hold in its cache. */
+    /** The images that should be in the machine's cache. */
     public Set<String> images() {
         return images.keySet();
     }
--- a/src/main/java/org/weldcourse/cluster/QuotaUsage.java
+++ b/src/main/java/org/weldcourse/cluster/QuotaUsage.java
@@ -8,69 +8,72 @@
 import org.weldcourse.quota.ResourceAmount;
 
 /**
- * What counts against each team's limit, each until there is evidence that nothing of it is left: bookings, also of jobs that
- * are over; tasks on machines that no booking explains; and what a record that can't be read may have admitted. Planner,
- * starts and limits on record all ask here.
+ * The usage that counts against each team's limit: bookings, also of closed jobs; reported tasks without a booking; and
+ * tasks that an unreadable record may have admitted. The first two count until the task is known to be gone from its
+ * machine. The planner, start authorization and the enforcement of recorded limits all use these figures.
  */
 public final class QuotaUsage {
-    /** More than any limit, where a record can't be read and nobody knows how much it admitted. */
-    private static final ResourceAmount ANY_AMOUNT = ResourceAmount.of(1e9, 1e9);
+    /** An amount above any limit, used when an unreadable record may have admitted any number of tasks. */
+    private static final ResourceAmount ABOVE_ANY_LIMIT = ResourceAmount.of(1e9, 1e9);
 
     private final Map<String, ResourceAmount> bookedByTeam = new HashMap<>();
     private final Map<String, ResourceAmount> unbookedByTeam = new HashMap<>();
     private final Map<String, ResourceAmount> unreadableByTeam = new HashMap<>();
-    private final Set<String> fullTeams = new HashSet<>();
-    private boolean allTeamsFull;
+    private final Set<String> blockedTeams = new HashSet<>();
+    private boolean allTeamsBlocked;
 
-    /** A task was booked. */
+    /** Counts a task that was booked. */
     void addBooked(JobSpec spec) {
         bookedByTeam.merge(spec.team(), spec.quotaPerTask(), ResourceAmount::plus);
     }
 
-    /** There is evidence that nothing is left of a booked task. */
+    /** Subtracts a booked task whose booking was released. */
     void removeBooked(JobSpec spec) {
         bookedByTeam.merge(spec.team(), spec.quotaPerTask(), ResourceAmount::minus);
     }
 
-    /** A machine lists a task that no booking explains. */
+    /** Counts a task that a machine reports without a booking. */
     void addUnbooked(JobSpec spec) {
         unbookedByTeam.merge(spec.team(), spec.quotaPerTask(), ResourceAmount::plus);
     }
 
-    /** A machine lists such a task no more. */
+    /** Subtracts an unbooked task that its machine no longer reports. */
     void removeUnbooked(JobSpec spec) {
         unbookedByTeam.merge(spec.team(), spec.quotaPerTask(), ResourceAmount::minus);
     }
 
-    /** So many tasks of a job may be anywhere: what was admitted of it can't be read. */
+    /** Counts tasks of a job whose admission record cannot be read, since they may run on any machine. */
     public void addUnreadable(JobSpec spec, int tasks) {
         unreadableByTeam.merge(spec.team(), spec.quotaPerTask().times(tasks), ResourceAmount::plus);
     }
 
-    /** Tasks of a job that can't be read were admitted; {@code team} is null where not even that is known. */
+    /**
+     * Blocks all further admissions of the team of an unreadable job, or of all teams if {@code team} is null
+     * (unknown).
+     */
     public void blockForUnreadableJob(String team) {
         if (team == null) {
-            allTeamsFull = true;
+            allTeamsBlocked = true;
         } else {
-            fullTeams.add(team);
+            blockedTeams.add(team);
         }
     }
 
-    /** What the team's bookings take, whether or not their tasks run yet. */
+    /** The team's booked amount, whether or not the tasks run yet. */
     public ResourceAmount bookedBy(String team) {
         return bookedByTeam.getOrDefault(team, ResourceAmount.ZERO);
     }
 
-    /** What counts against the team's limit without being booked. */
+    /** The amount that counts against the team's limit without a booking. */
     public ResourceAmount unbookedBy(String team) {
-        if (allTeamsFull || fullTeams.contains(team)) {
-            return ANY_AMOUNT;
+        if (allTeamsBlocked || blockedTeams.contains(team)) {
+            return ABOVE_ANY_LIMIT;
         }
         ResourceAmount unbooked = unbookedByTeam.getOrDefault(team, ResourceAmount.ZERO);
         return unbooked.plus(unreadableByTeam.getOrDefault(team, ResourceAmount.ZERO));
     }
 
-    /** All that counts against the team's limit. */
+    /** The total that counts against the team's limit: booked and unbooked. */
     public ResourceAmount usedBy(String team) {
         return bookedBy(team).plus(unbookedBy(team));
     }
--- a/src/main/java/org/weldcourse/cluster/RunTimeEstimator.java
+++ b/src/main/java/org/weldcourse/cluster/RunTimeEstimator.java
@@ -4,23 +4,24 @@
 import java.util.Map;
 
 /**
- * What tasks really took against what their owners said. Estimates err by half and on some days all the same
- * way, so each class learns a factor, and a job that has finished tasks speaks for itself.
+ * Corrects the users' run time estimates by observed run times. Estimates are off by up to half, on some days all in
+ * the same direction, so a correction factor is learned for each job class. A job with finished tasks uses their mean
+ * instead.
  */
 public final class RunTimeEstimator {
-    private static final double LEAST_FACTOR = 0.25;
-    private static final double MOST_FACTOR = 4;
-    /** Tasks that the owners' word counts for before the class's own record outweighs it. */
+    private static final double MIN_FACTOR = 0.25;
+    private static final double MAX_FACTOR = 4;
+    /** The weight of the users' estimates, as a number of tasks that ran exactly as long as estimated. */
     private static final double PRIOR_TASKS = 5;
-    /** Older experience fades, so that a class follows a change within some dozens of tasks. */
-    private static final double FADE = 0.98;
+    /** Decay of older samples for each new one, so that the factor follows a change within a few dozen tasks. */
+    private static final double DECAY = 0.98;
 
     private final Map<String, double[]> byClass = new HashMap<>();
 
-    /** What a service's replicas are expected to run: they have no end of their own. */
-    private static final long ENDLESS_MICROS = 300L * 86_400 * 1_000_000;
+    /** The assumed run time of service replicas, which do not end by themselves. */
+    private static final long SERVICE_RUN_MICROS = 300L * 86_400 * 1_000_000;
 
-    /** Learns from a task that ran so long from its start to its end. */
+    /** Records the run time of a finished task that was observed from its start. */
     public void recordRun(Job job, long ranMicros) {
         if (job.spec().isService()) {
             return;
@@ -29,26 +30,26 @@
         long estimateMicros = job.spec().estimatedRunMicros();
         if (estimateMicros > 0) {
             double[] sums = byClass.computeIfAbsent(job.spec().jobClass(), name -> new double[2]);
-            double ratio = Math.min(MOST_FACTOR, (double) ranMicros / estimateMicros);
-            sums[0] = sums[0] * FADE + ratio;
-            sums[1] = sums[1] * FADE + 1;
+            double ratio = Math.min(MAX_FACTOR, (double) ranMicros / estimateMicros);
+            sums[0] = sums[0] * DECAY + ratio;
+            sums[1] = sums[1] * DECAY + 1;
         }
     }
 
     /** The expected run time of one of the job's tasks. */
     public long expectedMicros(Job job) {
         if (job.spec().isService()) {
-            return ENDLESS_MICROS;
+            return SERVICE_RUN_MICROS;
         }
-        if (job.hasRuns()) {
+        if (job.hasFinishedRuns()) {
             return job.meanRunMicros();
         }
         double[] sums = byClass.get(job.spec().jobClass());
         double factor = sums == null ? 1 : (sums[0] + PRIOR_TASKS) / (sums[1] + PRIOR_TASKS);
-        return (long) (job.spec().estimatedRunMicros() * Math.max(LEAST_FACTOR, Math.min(MOST_FACTOR, factor)));
+        return (long) (job.spec().estimatedRunMicros() * Math.max(MIN_FACTOR, Math.min(MAX_FACTOR, factor)));
     }
 
-    /** How long a booked task should still run; past its time, a quarter of it is assumed ever anew. */
+    /** The expected remaining run time of a booked task: never less than a quarter of its expected run time. */
     public long remainingMicros(Booking booking, long nowMicros) {
         long expectedMicros = expectedMicros(booking.job());
         long ranMicros = booking.isRunning() ? nowMicros - booking.runningSinceMicros() : 0;
--- a/src/main/java/org/weldcourse/cluster/Snapshot.java
+++ b/src/main/java/org/weldcourse/cluster/Snapshot.java
@@ -11,24 +11,24 @@
 import org.weldcourse.settings.Settings;
 
 /**
- * What one admission cycle decides on. It is the cycle's own: the planner takes what it books out of the jobs' pending
- * tasks, and changes nothing else. Times are in microseconds of the node's steady clock.
+ * The input of one admission cycle, not shared with other cycles. The planner removes the tasks that it books from the
+ * jobs' pending tasks and changes nothing else. Times are in microseconds of the node's steady clock.
  *
- * @param machines the machines that new tasks may be booked on
- * @param jobs the jobs that have tasks to place
+ * @param machines machines that new tasks may be booked on
+ * @param jobs jobs with pending tasks
  */
 public record Snapshot(long nowMicros, List<MachineView> machines, List<JobView> jobs, List<TeamView> teams) {
     static final long NOT_RUNNING = -1;
 
     /**
-     * What a machine's bookings take of it.
+     * The resources and images that a machine's bookings use.
      *
-     * @param images the images that the machine holds, or fetches for its bookings
-     * @param tasks the booked tasks, in the order in which they would be preempted: what leaves anyway, then lower
-     *     priorities, then the least work lost
+     * @param images images that the machine has cached or fetches for its bookings
+     * @param tasks the booked tasks in preemption order: terminating tasks first, then the lowest priority, then the
+     *     least work lost
      */
     public record Allocation(double cpus, double gpus, double memoryGb, Set<String> images, List<TaskView> tasks) {
-        /** Puts the tasks in the order in which they would be preempted. */
+        /** Sorts the tasks into preemption order. */
         public Allocation {
             tasks = tasks.stream()
                     .sorted(Comparator.comparing((TaskView task) -> !task.terminating())
@@ -37,7 +37,7 @@
                     .toList();
         }
 
-        /** Whether a task is on its way out, or of lower priority than this. */
+        /** Whether any task is terminating or of lower priority than {@code priority}. */
         public boolean hasVictimFor(JobSpec.Priority priority) {
             if (tasks.isEmpty()) {
                 return false;
@@ -50,10 +50,11 @@
     /**
      * A machine that tasks may be booked on.
      *
-     * @param spot whether the cloud may reclaim it
-     * @param startSloPriority the highest priority of job classes with an objective for their start that need such a
-     *     machine, or null: what they would preempt had better go elsewhere
-     * @param allocation what is booked on it, which may exceed the machine while a preemptor waits for its victims to leave
+     * @param spot whether this is a spot machine, which the cloud may reclaim
+     * @param startSloPriority the highest priority among job classes with a start objective that need this kind of
+     *     machine, or null; jobs that those classes would preempt are better placed elsewhere
+     * @param allocation what is booked here, which may exceed the machine's capacity while tasks wait for their victims
+     *     to exit
      */
     public record MachineView(
             String name,
@@ -66,37 +67,40 @@
     /**
      * A booked task.
      *
-     * @param task the task's index in its job
+     * @param task the index of the task in its job
      * @param terminating whether it was told to stop
-     * @param runningSinceMicros since when its machine reports it as running, or a negative number when it does not
-     * @param expectedRunMicros how long it should run in all
+     * @param runningSinceMicros when the task was first reported as running, or {@link Snapshot#NOT_RUNNING}
+     * @param expectedRunMicros the expected total run time
      */
     public record TaskView(
             JobSpec job, int task, boolean terminating, long runningSinceMicros, long expectedRunMicros) {
-        /** Whether its machine reported it as running. */
+        /** Whether the task is reported as running. */
         public boolean running() {
             return runningSinceMicros != NOT_RUNNING;
         }
 
-        /** When it should end by its expected run time, and never in the past. */
+        /** The expected end, at the earliest now. */
         public long expectedEndMicros(long nowMicros) {
             return Math.max(nowMicros, (running() ? runningSinceMicros : nowMicros) + expectedRunMicros);
         }
 
-        /** Whether a running task should end by then, and is not past its time yet. */
+        /**
+         * Whether a running task is expected to end in this interval. False for a task that has overrun its expected
+         * end.
+         */
         public boolean expectedToEndBetween(long nowMicros, long untilMicros) {
             long endMicros = runningSinceMicros + expectedRunMicros;
             return endMicros >= nowMicros && endMicros <= untilMicros;
         }
 
-        /** Since when it has done the work that stopping it would lose; of two, the later loses less. */
+        /** Since when work would be lost by stopping the task; a later time means less loss. */
         private long unsavedSinceMicros() {
             return !running()
                     ? Long.MAX_VALUE
                     : job.checkpointIntervalMicros() > 0 ? Long.MAX_VALUE - 1 : runningSinceMicros;
         }
 
-        /** The run time that stopping it would lose, or that saving it would take. */
+        /** The run time that is lost by stopping the task, or the time for saving its checkpoint. */
         public long lostWorkMicros(long nowMicros) {
             return !running()
                     ? 0
@@ -105,17 +109,17 @@
     }
 
     /**
-     * A job with tasks to place.
+     * A job with pending tasks.
      *
-     * @param pending the tasks to place; the planner takes out what it books
-     * @param started whether some of its tasks are booked or done
-     * @param admissionDeadlinesMicros until when it has to be admitted to meet its class's objectives, the soonest first;
-     *     empty when it has none to meet
-     * @param latestStartMicros by when a task should start to be done in time
-     * @param expectedRunMicros how long a task should run
-     * @param tasksByZone where its other tasks are booked, if that decides on where the pending ones may go
-     * @param excludedMachines names of machines that its tasks have failed on
-     * @param quotaReservedTasks how many of the pending tasks count as used by the team already
+     * @param pending the pending tasks; the planner removes those that it books
+     * @param started whether any task is booked or done
+     * @param admissionDeadlinesMicros the latest admission times that still meet the objectives of the job's class, in
+     *     ascending order; empty if there are none
+     * @param latestStartMicros the latest start of a task that still ends in time
+     * @param expectedRunMicros the expected run time of a task
+     * @param tasksByZone the number of booked tasks by zone, if the job has a zone constraint; else empty
+     * @param excludedMachines names of machines that tasks of the job have failed on
+     * @param quotaReservedTasks how many of the pending tasks already count as used by the team
      */
     public record JobView(
             JobSpec spec,
@@ -128,7 +132,7 @@
             Map<String, Integer> tasksByZone,
             Set<String> excludedMachines,
             int quotaReservedTasks) {
-        /** The work that is left to admit, in CPU-seconds as a power of two. */
+        /** The binary logarithm, rounded down, of the pending tasks' work in CPU-seconds (in CPUs for a service). */
         public int remainingWorkLog2() {
             double cpuSeconds = pending.cardinality() * spec.cpus() * (spec.isService() ? 1 : expectedRunMicros / 1e6);
             return Math.getExponent(Math.max(1, cpuSeconds));
@@ -136,23 +140,23 @@
     }
 
     /**
-     * A team, and what counts against its limit.
+     * A team and its usage.
      *
-     * @param team its guarantee and limit
-     * @param cohort the cohort that it borrows in, or null
+     * @param team the team's guarantee and limit
+     * @param cohort the cohort that the team borrows in, or null
      */
     public record TeamView(Settings.Team team, double usedCpus, double usedGpus, CohortView cohort) {
-        /** A team that belongs to no cohort, and all that counts against its limit. */
+        /** Creates the view of a team without a cohort, with the usage that counts against its limit. */
         public static TeamView of(Settings.Team team, ResourceAmount counted) {
             return new TeamView(team, counted.cpus(), counted.gpus());
         }
 
-        /** A team that belongs to no cohort. */
+        /** Creates the view of a team without a cohort. */
         public TeamView(Settings.Team team, double usedCpus, double usedGpus) {
             this(team, usedCpus, usedGpus, null);
         }
     }
 
-    /** What the teams of a cohort may use together ({@code max}), and what they do use. */
+    /** The limit ({@code max}) and the usage of all teams of a cohort together. */
     public record CohortView(String name, double cpusMax, double gpusMax, double usedCpus, double usedGpus) {}
 }
--- a/src/main/java/org/weldcourse/cluster/package-info.java
+++ b/src/main/java/org/weldcourse/cluster/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The leader's view of the cluster in memory: machines, jobs, the bookings of tasks on machines, and what counts
- * against each team's quota. One event loop owns it; a {@link org.weldcourse.cluster.Snapshot} is what a cycle decides on.
+ * The leader's in-memory state of the cluster: machines, jobs, bookings, and the usage that counts against each team's
+ * quota. It belongs to a single event loop. A {@link org.weldcourse.cluster.Snapshot} is the input of one admission
+ * cycle.
  */
 package org.weldcourse.cluster;
--- a/src/test/java/org/weldcourse/admission/JobDeadlinesTest.java
+++ b/src/test/java/org/weldcourse/admission/JobDeadlinesTest.java
@@ -13,7 +13,7 @@
 import org.weldcourse.settings.Settings.ServiceLevelObjective.Kind;
 import org.weldcourse.simulation.JobBodies;
 
-/** What objectives and deadlines ask of a job. */
+/** Tests the deadlines that follow from a job's own deadline and its objectives. */
 class JobDeadlinesTest {
     private static final long SECOND = 1_000_000;
     private static final long ACCEPTED = 1_000 * SECOND;
@@ -39,27 +39,28 @@
     }
 
     @Test
-    void aStartIsAdmittedInThreeQuartersOfItsTimeAndAnEndBeforeItsRunTime() throws Exception {
+    void startObjectiveLeavesAQuarterOfItsTimeAndCompletionObjectiveTheRunTime() throws Exception {
         assertArrayEquals(
                 new long[] {ACCEPTED + 15 * SECOND, ACCEPTED + 70 * SECOND},
-                deadlines(COMPLETION, START, OTHER_CLASS).admissionMicros(job("array"), false));
+                deadlines(COMPLETION, START, OTHER_CLASS).admissionDeadlinesMicros(job("array"), false));
     }
 
     @Test
-    void theLastObjectiveForTheEndCounts() throws Exception {
+    void latestCompletionObjectiveCounts() throws Exception {
         assertArrayEquals(
                 new long[] {ACCEPTED + 270 * SECOND},
-                deadlines(DEADLINE, COMPLETION).admissionMicros(job("array"), false));
+                deadlines(DEADLINE, COMPLETION).admissionDeadlinesMicros(job("array"), false));
     }
 
     @Test
-    void anArrayThatHasStartedHasNoStartToMeetButAGangHas() throws Exception {
-        assertArrayEquals(new long[0], deadlines(START).admissionMicros(job("array"), true));
-        assertArrayEquals(new long[] {ACCEPTED + 15 * SECOND}, deadlines(START).admissionMicros(job("ensemble"), true));
+    void startObjectiveIsIgnoredForAStartedArrayButNotForAGang() throws Exception {
+        assertArrayEquals(new long[0], deadlines(START).admissionDeadlinesMicros(job("array"), true));
+        assertArrayEquals(
+                new long[] {ACCEPTED + 15 * SECOND}, deadlines(START).admissionDeadlinesMicros(job("ensemble"), true));
     }
 
     @Test
-    void aJobIsDueWellBeforeTheSoonerOfItsDeadlineAndItsObjective() throws Exception {
+    void jobIsDueWellBeforeTheEarlierOfItsDeadlineAndItsObjective() throws Exception {
         assertEquals(ACCEPTED + 170 * SECOND, deadlines().dueMicros(job("array")));
         assertEquals(ACCEPTED + 85 * SECOND, deadlines(COMPLETION, OTHER_CLASS).dueMicros(job("array")));
         assertEquals(ACCEPTED + 55 * SECOND, deadlines(COMPLETION).latestStartMicros(job("array")));
--- a/src/test/java/org/weldcourse/admission/PlannerTest.java
+++ b/src/test/java/org/weldcourse/admission/PlannerTest.java
@@ -22,13 +22,13 @@
 import org.weldcourse.settings.Settings;
 import org.weldcourse.simulation.JobBodies;
 
-/** Whom a cycle admits, in which order, and where. */
+/** Tests which jobs an admission cycle admits, in which order and on which machines. */
 class PlannerTest {
     private static final long SECOND = 1_000_000;
     private static final long NOW = 1_000 * SECOND;
     private static final MachineType LARGE =
             new MachineType("large", 16, 0, 64, 100, 1, 1.6, 0.8, 20 * SECOND, List.of("a"));
-    private static final Planner.CycleLimits PLENTY = new Planner.CycleLimits(1_000, 100, 3 * SECOND);
+    private static final Planner.CycleLimits AMPLE_LIMITS = new Planner.CycleLimits(1_000, 100, 3 * SECOND);
 
     private static JobSpec spec(String id, Object... changes) throws Exception {
         return JobSpecCodec.decode(Json.objectOrEmpty(Json.bytes(JobBodies.jobBody(id, changes))));
@@ -90,23 +90,24 @@
     }
 
     @Test
-    void whatKeepsItsAimComesBeforeWhatMissedItAndWhatIsOwedBeforeBoth() throws Exception {
+    void overdueJobsPrecedeJobsThatCanMeetAnObjectiveAndThosePrecedeTheRest() throws Exception {
         List<MachineView> one = List.of(machine("m-1"));
-        assertEquals(List.of("req-000002"), admitted(decide(PLENTY, one, gang(1, 1, 60), gang(2, 1, 2))));
-        assertEquals(List.of("req-000002"), admitted(decide(PLENTY, one, gang(1, 1, 61), gang(2, 1, 2))));
-        // One that can keep a later aim stands between them, small ones first.
-        assertEquals(List.of("req-000002"), admitted(decide(PLENTY, one, gang(1, 1, 30), gang(2, 1, 2))));
-        assertEquals(List.of("req-000002"), admitted(decide(PLENTY, one, gang(1, 1, 90), gang(2, 1, 30))));
+        assertEquals(List.of("req-000002"), admitted(decide(AMPLE_LIMITS, one, gang(1, 1, 60), gang(2, 1, 2))));
+        assertEquals(List.of("req-000002"), admitted(decide(AMPLE_LIMITS, one, gang(1, 1, 61), gang(2, 1, 2))));
+        // Jobs that can only meet a later objective come in between, those with less work first.
+        assertEquals(List.of("req-000002"), admitted(decide(AMPLE_LIMITS, one, gang(1, 1, 30), gang(2, 1, 2))));
+        assertEquals(List.of("req-000002"), admitted(decide(AMPLE_LIMITS, one, gang(1, 1, 90), gang(2, 1, 30))));
         assertEquals(
-                List.of("req-000003"), admitted(decide(PLENTY, one, gang(1, 2, 40), gang(2, 2, 59), gang(3, 1, 20))));
-        assertEquals(List.of("req-000001"), admitted(decide(PLENTY, one, gang(1, 1, 160), gang(2, 1, 2))));
+                List.of("req-000003"),
+                admitted(decide(AMPLE_LIMITS, one, gang(1, 2, 40), gang(2, 2, 59), gang(3, 1, 20))));
+        assertEquals(List.of("req-000001"), admitted(decide(AMPLE_LIMITS, one, gang(1, 1, 160), gang(2, 1, 2))));
         assertEquals(
                 List.of("req-000002"),
-                admitted(decide(PLENTY, List.of(machine("m-1"), machine("m-2")), gang(1, 2, 2), gang(2, 1, 1))));
+                admitted(decide(AMPLE_LIMITS, List.of(machine("m-1"), machine("m-2")), gang(1, 2, 2), gang(2, 1, 1))));
     }
 
     @Test
-    void machinesAreHeldForAGangFromItsEqualsButNotFromLowerPriorities() throws Exception {
+    void machinesReservedForAGangAreClosedToEqualPrioritiesButOpenToLowerOnes() throws Exception {
         JobSpec running = spec("req-000009", "shape", "ensemble", "rank", "urgent", "cpus", 14.0);
         List<MachineView> machines = List.of(
                 machine("m-1"),
@@ -115,17 +116,19 @@
         JobSpec idle = spec("req-000008", "rank", "idle", "beads", 2);
         JobView array =
                 new JobView(idle, pending(2), NOW, false, new long[0], NOW + SECOND, SECOND, Map.of(), Set.of(), 0);
-        // The large one is owed its start: the small one behind it may not take what it waits for.
-        CycleDecisions decisions = decide(PLENTY, machines, gang(1, 3, 160), gang(2, 1, 160 - 1), array);
+        // The large gang is overdue: the small gang behind it must not take the machines that it waits for.
+        CycleDecisions decisions = decide(AMPLE_LIMITS, machines, gang(1, 3, 160), gang(2, 1, 160 - 1), array);
         assertEquals(List.of("req-000008"), admitted(decisions));
         assertEquals(Set.of("m-1", "m-2", "m-3"), decisions.reservedMachines());
         assertEquals(Map.of("a", 2), decisions.pending().get(0).freeSlotsByZone());
-        // Long after, the hold pauses, should the rest never be found.
-        assertTrue(decide(PLENTY, machines, gang(1, 3, 240)).reservedMachines().isEmpty());
+        // After 225 s the reservation pauses, in case the missing machines never become available.
+        assertTrue(decide(AMPLE_LIMITS, machines, gang(1, 3, 240))
+                .reservedMachines()
+                .isEmpty());
     }
 
     @Test
-    void admissionsStayWithinWhatTheRecordsHaveRoomFor() throws Exception {
+    void admissionsStayWithinTheLimitOfTheCycle() throws Exception {
         List<MachineView> machines = List.of(machine("m-1"), machine("m-2"));
         Planner.CycleLimits cycleLimits = new Planner.CycleLimits(1_000, 1, 0);
         assertEquals(
@@ -136,7 +139,7 @@
     }
 
     @Test
-    void machinesOfWorkPastTheBoundAreHeldSoThatTheyAreNotReturned() throws Exception {
+    void machinesBookedBeyondTheAdmissionLimitAreReservedAgainstScaleIn() throws Exception {
         List<MachineView> machines = List.of(machine("m-1"), machine("m-2"));
         CycleDecisions decisions = decide(new Planner.CycleLimits(1_000, 1, 0), machines, gang(1, 1, 1), gang(2, 1, 2));
         assertEquals(
@@ -146,11 +149,12 @@
         assertTrue(decisions.admissions().get(0).tasks().keySet().stream()
                 .noneMatch(decisions.reservedMachines()::contains));
         assertEquals(
-                Set.of(), decide(PLENTY, machines, gang(1, 1, 1), gang(2, 1, 2)).reservedMachines());
+                Set.of(),
+                decide(AMPLE_LIMITS, machines, gang(1, 1, 1), gang(2, 1, 2)).reservedMachines());
     }
 
     @Test
-    void aReplacementDoesNotJoinAThirdOfItsServiceOnOneMachine() throws Exception {
+    void replacementReplicaAvoidsAMachineThatRunsAThirdOfItsService() throws Exception {
         JobSpec service =
                 spec("req-000001", "shape", "service", "rank", "prod", "beads", 6, "cpus", 1.0, "expected_s", 0.0);
         TaskView first = new TaskView(service, 0, false, NOW - 60 * SECOND, Long.MAX_VALUE / 2);
@@ -158,10 +162,10 @@
         BitSet lost = new BitSet();
         lost.set(4, 6);
         JobView waiting = new JobView(service, lost, NOW, true, new long[0], NOW, SECOND, Map.of("a", 4), Set.of(), 0);
-        // The fullest machine comes first, but for what it holds of this service.
+        // The fullest machine would come first, but it already runs a third of this service.
         List<MachineView> machines = List.of(machine("m-1", first, second), machine("m-2", first), machine("m-3"));
         Map<String, int[]> tasks =
-                decide(PLENTY, machines, waiting).admissions().get(0).tasks();
+                decide(AMPLE_LIMITS, machines, waiting).admissions().get(0).tasks();
         assertEquals(Set.of("m-2", "m-3"), tasks.keySet());
     }
 
@@ -172,7 +176,7 @@
     }
 
     @Test
-    void replicasOfDifferentServicesShareMachinesUpToAPart() throws Exception {
+    void replicasOfDifferentServicesShareMachinesUpToAMaximumShare() throws Exception {
         JobSpec other = spec("req-000009", "shape", "service", "rank", "prod", "cpus", 1.0, "expected_s", 0.0);
         JobSpec array = spec("req-000008", "rank", "idle", "cpus", 8.0);
         TaskView replica = new TaskView(other, 0, false, NOW - 60 * SECOND, Long.MAX_VALUE / 2);
@@ -185,25 +189,28 @@
                 machine("m-5"),
                 machine("m-6", replica, replica, replica, replica, replica, replica));
         Map<String, int[]> tasks =
-                decide(PLENTY, machines, service(6)).admissions().get(0).tasks();
-        assertEquals(Set.of("m-1", "m-2", "m-3"), tasks.keySet(), "with replicas, then the fullest; m-6 has its part");
+                decide(AMPLE_LIMITS, machines, service(6)).admissions().get(0).tasks();
+        assertEquals(
+                Set.of("m-1", "m-2", "m-3"),
+                tasks.keySet(),
+                "machines with replicas, then the fullest; m-6 has reached its share");
         assertTrue(tasks.values().stream().allMatch(some -> some.length == 2), "a third of the service on each");
     }
 
     @Test
-    void replicasDisplaceArraysRatherThanGangs() throws Exception {
+    void replicasPreemptArraysRatherThanGangs() throws Exception {
         JobSpec gang = spec("req-000009", "shape", "ensemble", "rank", "urgent", "cpus", 16.0);
         JobSpec array = spec("req-000008", "rank", "idle", "cpus", 16.0);
         List<MachineView> machines = List.of(
                 machine("m-1", new TaskView(gang, 0, false, NOW - SECOND, 60 * SECOND)),
                 machine("m-2", new TaskView(array, 0, false, NOW - 50 * SECOND, 60 * SECOND)));
-        CycleDecisions decisions = decide(PLENTY, machines, service(1));
+        CycleDecisions decisions = decide(AMPLE_LIMITS, machines, service(1));
         assertEquals(Set.of("m-2"), decisions.admissions().get(0).tasks().keySet());
         assertEquals("req-000008", decisions.preemptions().get(0).job());
     }
 
     @Test
-    void arraysAreBookedAheadOnRoomThatIsFreeInAMoment() throws Exception {
+    void arraysAreBookedAheadOnCapacityThatIsFreeSoon() throws Exception {
         JobSpec other = spec("req-000009", "cpus", 8.0);
         MachineView ending = machine(
                 "m-1",
@@ -211,7 +218,7 @@
                 new TaskView(other, 1, false, NOW, 30 * SECOND));
         JobSpec idle = spec("req-000008", "beads", 20, "cpus", 4.0);
         JobView array = new JobView(idle, pending(20), NOW, false, new long[0], NOW, SECOND, Map.of(), Set.of(), 0);
-        CycleDecisions decisions = decide(PLENTY, List.of(ending), array);
+        CycleDecisions decisions = decide(AMPLE_LIMITS, List.of(ending), array);
         assertEquals(2, decisions.admissions().get(0).tasks().get("m-1").length);
         assertEquals(18, decisions.pending().get(0).tasks());
     }
