--- a/src/main/java/org/weldcourse/admission/ArrayBinPacking.java
+++ b/src/main/java/org/weldcourse/admission/ArrayBinPacking.java
@@ -37,8 +37,8 @@
         int heldBack = 0;
         // Replicas do not wait for capacity that is free soon, because they can preempt lower priorities instead.
         if (!spec.isService()) {
-            // A job ends with its last task, so half of the waiting tasks are held back until capacity is actually
-            // free.
+            // A job ends with its last task, so half of the waiting tasks are held back for capacity that is free
+            // already.
             heldBack = (left + 1) / 2;
             left = fill(spec, candidates, zones, tasksByMachine, left, true, heldBack);
         }
--- a/src/main/java/org/weldcourse/admission/GangAdmission.java
+++ b/src/main/java/org/weldcourse/admission/GangAdmission.java
@@ -65,8 +65,7 @@
     }
 
     /**
-     * The sets of machines that a gang's tasks may be spread over: one per zone for a single-zone gang, else one in
-     * all.
+     * The sets of machines that a gang's tasks may be spread over: one per zone for a single-zone gang, else just one.
      */
     private Map<String, List<FreeCapacity>> domains(JobView job) {
         Map<String, List<FreeCapacity>> domains = new LinkedHashMap<>();
--- a/src/main/java/org/weldcourse/admission/QuotaPreemption.java
+++ b/src/main/java/org/weldcourse/admission/QuotaPreemption.java
@@ -69,8 +69,7 @@
     }
 
     /**
-     * The tasks to preempt: terminating ones first, then the least work lost. Empty if all candidates together do not
-     * suffice.
+     * The tasks to preempt: terminating ones first, then the least work lost. Empty if all candidates do not suffice.
      */
     List<Candidate> choose() {
         Comparator<Candidate> order = Comparator.comparing((Candidate victim) -> !victim.task.terminating())
--- a/src/main/java/org/weldcourse/cluster/ClusterState.java
+++ b/src/main/java/org/weldcourse/cluster/ClusterState.java
@@ -127,7 +127,7 @@
             }
             default ->
                 LOG.debug(
-                        "{} attempt {} ended on {}: {}",
+                        "{} attempt {} exited on {}: {}",
                         booking.taskId(),
                         booking.attempt(),
                         booking.machine().name,
@@ -146,8 +146,7 @@
             job.markDone(booking.task());
         }
         if (job.spec().isService() && ranMicros < SHORT_RUN_MICROS) {
-            // A replica is not expected to exit. Back off so that one that always exits at once is not restarted in a
-            // loop.
+            // Replicas are not expected to exit: back off, in case one always exits right after its start.
             long backoffMicros = REFUSED_BACKOFF_MICROS << Math.min(6, job.incrementErrors() - 1);
             job.backOffUntil(nowMicros + Math.min(MAX_BACKOFF_MICROS, backoffMicros));
         } else {
--- a/src/main/java/org/weldcourse/cluster/Job.java
+++ b/src/main/java/org/weldcourse/cluster/Job.java
@@ -10,7 +10,7 @@
 import org.weldcourse.jobs.JobSpec;
 
 /**
- * The leader's state of a job: its finished, booked and pending tasks, each identified by its index. Times are in
+ * A job as the leader knows it: its finished, booked and pending tasks, each identified by its index. Times are in
  * microseconds of the event loop's clock.
  */
 public final class Job {
--- a/src/main/java/org/weldcourse/cluster/Machine.java
+++ b/src/main/java/org/weldcourse/cluster/Machine.java
@@ -14,7 +14,7 @@
 import org.weldcourse.workers.TaskId;
 import org.weldcourse.workers.TaskStatus;
 
-/** The leader's state of a machine, from its rental (or first heartbeat) until the cloud confirms its deletion. */
+/** A machine as the leader knows it, from its rental (or first heartbeat) until the cloud confirms its deletion. */
 public final class Machine {
     private static final int LOST_RESPONSES_TO_CORDON = 2;
 
@@ -37,8 +37,7 @@
 
     public long reclaimAtMicros = Long.MAX_VALUE;
     /**
-     * Whether deletion was requested. Nothing starts on the machine any more; bookings stay until the cloud confirms
-     * it.
+     * Whether deletion was requested. Nothing is started here, and bookings stay until the cloud confirms the deletion.
      */
     public boolean deleting;
 
--- a/src/main/java/org/weldcourse/cluster/QuotaUsage.java
+++ b/src/main/java/org/weldcourse/cluster/QuotaUsage.java
@@ -48,8 +48,8 @@
     }
 
     /**
-     * Blocks all further admissions of the team of an unreadable job, or of all teams if {@code team} is null
-     * (unknown).
+     * Raises the usage above any limit because of an unreadable job: that of its team, or of all teams if {@code team}
+     * is null (unknown).
      */
     public void blockForUnreadableJob(String team) {
         if (team == null) {
--- a/src/main/java/org/weldcourse/cluster/Snapshot.java
+++ b/src/main/java/org/weldcourse/cluster/Snapshot.java
@@ -68,7 +68,7 @@
      * A booked task.
      *
      * @param task the index of the task in its job
-     * @param terminating whether it was told to stop
+     * @param terminating whether a stop was requested
      * @param runningSinceMicros when the task was first reported as running, or {@link Snapshot#NOT_RUNNING}
      * @param expectedRunMicros the expected total run time
      */
@@ -84,10 +84,7 @@
             return Math.max(nowMicros, (running() ? runningSinceMicros : nowMicros) + expectedRunMicros);
         }
 
-        /**
-         * Whether a running task is expected to end in this interval. False for a task that has overrun its expected
-         * end.
-         */
+        /** Whether a running task is expected to end in this interval; false if it has overrun its expected end. */
         public boolean expectedToEndBetween(long nowMicros, long untilMicros) {
             long endMicros = runningSinceMicros + expectedRunMicros;
             return endMicros >= nowMicros && endMicros <= untilMicros;
