--- a/src/main/java/org/weldcourse/admission/AdmissionQueues.java
+++ b/src/main/java/org/weldcourse/admission/AdmissionQueues.java
@@ -11,7 +11,7 @@
 
 /**
  * The waiting jobs, in a queue per team. The next job is the best of the queue heads: by priority, then teams within
- * their guarantee before teams that borrow, then by urgency. The heads are compared anew each time, because admissions
+ * their guarantee before teams that borrow, then by urgency. The heads are compared again each time, because admissions
  * change the teams' usage.
  */
 final class AdmissionQueues {
--- a/src/main/java/org/weldcourse/cluster/ClusterState.java
+++ b/src/main/java/org/weldcourse/cluster/ClusterState.java
@@ -17,16 +17,25 @@
 /** The leader's in-memory state during one term: open jobs, machines, bookings and reported tasks. */
 public final class ClusterState {
     private static final Logger LOG = LoggerFactory.getLogger(ClusterState.class);
+    /** A job backs off once its tasks have failed on this many machines. */
     private static final int FAILED_MACHINES_BEFORE_BACKOFF = 3;
+
     private static final long INITIAL_BACKOFF_MICROS = 5_000_000;
     /** A job must not wait 90 s while there is free capacity, even if its own tasks fail. */
     private static final long MAX_BACKOFF_MICROS = 60_000_000;
 
+    /**
+     * The backoff of a job whose task was refused by a worker; also the initial backoff of a replica that exits early.
+     */
     private static final long REFUSED_BACKOFF_MICROS = 1_000_000;
+    /** A replica that exits within this time counts as an error. */
     private static final long SHORT_RUN_MICROS = 10_000_000;
 
+    /** Open jobs by id. */
     public final Map<String, Job> jobs = new HashMap<>();
+    /** Known machines by name. */
     public final Map<String, Machine> machines = new HashMap<>();
+
     public final RunTimeEstimator runTimes = new RunTimeEstimator();
     /** The machine that last reported a task as present and not exited. */
     private final Map<TaskId, Machine> machineByPresentTask = new HashMap<>();
--- a/src/main/java/org/weldcourse/cluster/Machine.java
+++ b/src/main/java/org/weldcourse/cluster/Machine.java
@@ -19,9 +19,13 @@
     private static final int LOST_RESPONSES_TO_CORDON = 2;
 
     public final String name;
+    /** The worker's address for direct commands, or null if not known yet. */
     public String address;
+    /** The machine type, or null if not known yet. */
     public MachineType type;
+    /** The zone, or null if not known yet. */
     public String zone;
+
     public boolean spot;
     /** When the machine was rented, if known; else when this leader first learned of it. */
     public long rentedMicros;
@@ -29,12 +33,14 @@
     /** The worker's incarnation in the last accepted heartbeat; 0 before the first one. */
     public long incarnation;
 
+    /** The sequence number of the last accepted heartbeat, or -1. */
     public long heartbeatSequence = -1;
     /** When the last accepted heartbeat arrived, or -1. */
     public long lastHeartbeatMicros = -1;
     /** Whether the machine has reported under this leader's fencing token, so that its task list can be relied on. */
     public boolean reconciled;
 
+    /** When the cloud reclaims this spot machine, or {@link Long#MAX_VALUE} if no reclaim was announced. */
     public long reclaimAtMicros = Long.MAX_VALUE;
     /**
      * Whether deletion was requested. Nothing is started here, and bookings stay until the cloud confirms the deletion.
@@ -45,13 +51,16 @@
     /** Whether the cloud's machine list, which lags, shows the machine as starting. */
     public boolean starting;
 
+    /** Since when nothing has been booked here; meaningful only while there are no bookings. */
     public long idleSinceMicros;
     /** Consecutive heartbeat responses that did not reach the worker, as its next heartbeats showed. */
     private int consecutiveLostResponses;
 
     private long responsesLostSinceMicros;
     private long lastLostResponseMicros;
+    /** When the first heartbeat arrived, or -1. */
     public long firstHeartbeatMicros = -1;
+    /** The tasks booked on this machine. */
     public final Map<TaskId, Booking> bookings = new HashMap<>();
     /** Tasks that the last heartbeat listed without a booking; they count as usage until they exit. */
     public final List<TaskStatus> unbookedTasks = new ArrayList<>();
@@ -59,7 +68,9 @@
     /** The jobs of the unbooked tasks; empty for a job that is not known. */
     final List<Optional<Job>> unbookedTaskJobs = new ArrayList<>();
 
+    /** Ids of jobs that had a task fail on this machine. */
     public final Set<String> failedJobs = new HashSet<>();
+    /** The number of tasks that succeeded here since the last task failure. */
     public int successesSinceError;
     /** Exited tasks in the last heartbeat that the worker has not been told to forget yet. */
     public final List<TaskStatus> exitedTasks = new ArrayList<>();
@@ -153,6 +164,7 @@
         return isCordoned() && nowMicros - responsesLostSinceMicros > micros;
     }
 
+    /** Whether any heartbeat has been accepted. */
     public boolean isUp() {
         return lastHeartbeatMicros >= 0;
     }
