--- a/src/main/java/org/weldcourse/workers/BookingReconciliation.java
+++ b/src/main/java/org/weldcourse/workers/BookingReconciler.java
@@ -12,20 +12,24 @@
 import org.weldcourse.cluster.ReleaseReason;
 
 /** Reconciles the tasks that an accepted heartbeat lists with the machine's bookings. */
-final class BookingReconciliation {
-    private static final Logger LOG = LoggerFactory.getLogger(BookingReconciliation.class);
+final class BookingReconciler {
+    private static final Logger LOG = LoggerFactory.getLogger(BookingReconciler.class);
 
     private final ClusterState cluster;
-    private final AnswerLossDetector answerLoss;
+    private final ResponseLossDetector responseLossDetector;
     private final StartAuthorization startAuthorization;
 
-    BookingReconciliation(ClusterState cluster, AnswerLossDetector answerLoss, StartAuthorization startAuthorization) {
+    BookingReconciler(
+            ClusterState cluster, ResponseLossDetector responseLossDetector, StartAuthorization startAuthorization) {
         this.cluster = cluster;
-        this.answerLoss = answerLoss;
+        this.responseLossDetector = responseLossDetector;
         this.startAuthorization = startAuthorization;
     }
 
-    /** Whether something was learnt that the next admission cycle may use. */
+    /**
+     * Updates the bookings from the listed tasks; returns whether anything changed that the next admission cycle may
+     * use.
+     */
     boolean reconcile(Machine machine, List<TaskStatus> tasks, long nowMicros) {
         boolean changed = false;
         Set<TaskId> bookedAndListed = new HashSet<>();
@@ -53,38 +57,40 @@
             }
         }
         cluster.setUnbookedTasks(machine, unbooked);
-        answerLoss.startsAnswered(machine, startArrived, bookedAndListed, nowMicros);
-        return changed | freeUnlisted(machine, bookedAndListed, nowMicros);
+        responseLossDetector.checkStartCommands(machine, startArrived, bookedAndListed, nowMicros);
+        return changed | releaseUnlisted(machine, bookedAndListed, nowMicros);
     }
 
     /**
-     * Bookings that the heartbeat does not list. Seen before and not now, with no exit: a new incarnation swept the
-     * task away. Never seen: it was never started, or the answer that said so was lost, and it may be started again or,
-     * when it is unwanted, given up: this heartbeat is newer than any answer that told it to start.
+     * Handles bookings whose task the heartbeat does not list. If the task was listed before, the worker ended it when
+     * its lease expired and a new incarnation began: the booking is released. If it was never listed, the task was not
+     * started or the response with the start command was lost. It may then be started again or, if it is no longer
+     * wanted, released, because this heartbeat is newer than every response that told the worker to start it.
      */
-    private boolean freeUnlisted(Machine machine, Set<TaskId> listed, long nowMicros) {
-        boolean freed = false;
+    private boolean releaseUnlisted(Machine machine, Set<TaskId> listed, long nowMicros) {
+        boolean released = false;
         for (Booking booking : new ArrayList<>(machine.bookings.values())) {
             if (listed.contains(booking.taskId())) {
                 continue;
             }
             booking.clearStartSent();
-            if (booking.isReported() || booking.isPersisted() && isUnwanted(booking)) {
-                ReleaseReason evidence =
+            if (booking.isReported() || booking.isPersisted() && isNoLongerWanted(booking)) {
+                ReleaseReason reason =
                         booking.isReported() ? ReleaseReason.NO_LONGER_LISTED : ReleaseReason.NEVER_LISTED;
-                cluster.release(booking, evidence, nowMicros);
-                freed = true;
+                cluster.release(booking, reason, nowMicros);
+                released = true;
             }
         }
-        return freed;
+        return released;
     }
 
     /**
-     * Whether a task that was admitted and never listed is given up. One of a team above its limit is: what was
-     * preempted under an earlier leader is still on record beside what preempted it, and if the machine has forgotten
-     * its exit, it looks as if it had never been told to start.
+     * Whether the booking of an admitted task that was never listed is released. This includes tasks of a team above
+     * its limit: the store still holds the admission of a task that was preempted under an earlier leader, beside that
+     * of the task which preempted it. Once the worker has forgotten the exit, the preempted task looks as if it had
+     * never been started.
      */
-    private boolean isUnwanted(Booking booking) {
+    private boolean isNoLongerWanted(Booking booking) {
         return booking.isStopRequested()
                 || booking.machine().isCordoned()
                 || startAuthorization.isOverbooked(booking.job().spec().team());
--- a/src/main/java/org/weldcourse/workers/CommandCodec.java
+++ b/src/main/java/org/weldcourse/workers/CommandCodec.java
@@ -5,16 +5,16 @@
 import java.util.Map;
 import org.weldcourse.http.Json;
 
-/** Writes commands for workers to the wire: the protocol's names for them stay in here. */
+/** Encodes worker commands as messages. The field names of the protocol are used only here. */
 public final class CommandCodec {
     private CommandCodec() {}
 
-    /** The answer to a heartbeat, which renews the worker's lease if the token is not older than one that it has seen. */
+    /** Encodes a heartbeat response; it renews the worker's lease unless the worker has seen a newer fencing token. */
     public static Map<String, Object> encodeHeartbeatResponse(long fencingToken, List<WorkerCommand> commands) {
         return Json.of("torch", fencingToken, "orders", encode(commands));
     }
 
-    /** A direct message with commands, which hold only for this incarnation of the worker. */
+    /** Encodes a direct message; the worker ignores its commands unless it is still in this incarnation. */
     public static Map<String, Object> encodeDirectMessage(
             long fencingToken, long incarnation, List<WorkerCommand> commands) {
         return Json.of("torch", fencingToken, "shift", incarnation, "orders", encode(commands));
@@ -41,7 +41,7 @@
                         "strike",
                         command.attempt(),
                         "cooldown_s",
-                        command.graceMicros() / 1e6);
+                        command.gracePeriodMicros() / 1e6);
             case FORGET -> Json.of("order", "forget", "bead", task, "strike", command.attempt());
         };
     }
--- a/src/main/java/org/weldcourse/workers/CommandSelector.java
+++ b/src/main/java/org/weldcourse/workers/CommandSelector.java
@@ -10,27 +10,29 @@
 import org.weldcourse.fleet.MachineType;
 import org.weldcourse.jobs.JobSpec;
 
-/** Selects the commands that a worker is to be sent, by the bookings of its machine and what it last reported. */
+/** Selects the commands to send to a worker from the bookings of its machine and its last heartbeat. */
 public final class CommandSelector {
-    /** So many commands stay well below the 64 KiB that a message may have; the rest goes with the next one. */
+    /** Keeps a message well below the limit of 64 KiB; the remaining commands go out with the next message. */
     static final int MAX_COMMANDS = 500;
 
-    private static final int MAX_FORGETS = MAX_COMMANDS / 4;
+    private static final int MAX_FORGET_COMMANDS = MAX_COMMANDS / 4;
 
     private final ClusterState cluster;
     private final StartAuthorization startAuthorization;
 
-    /** Selects commands by this state; {@link StartAuthorization} has the last word on each start. */
+    /** Creates a selector over this cluster state; {@link StartAuthorization} decides on each start. */
     public CommandSelector(ClusterState cluster, StartAuthorization startAuthorization) {
         this.cluster = cluster;
         this.startAuthorization = startAuthorization;
     }
 
-    /** The commands that answer an accepted heartbeat: first what leaves the machine, then starts on the room left. */
-    List<WorkerCommand> answer(Machine machine, boolean mayStart, long nowMicros) {
+    /**
+     * Selects the response to an accepted heartbeat: forgets and stops first, then starts on the remaining capacity.
+     */
+    List<WorkerCommand> selectCommands(Machine machine, boolean mayStart, long nowMicros) {
         List<WorkerCommand> commands = new ArrayList<>();
         addForgets(machine, commands);
-        addStopsOfUnbooked(machine, commands);
+        addStopsOfUnbookedTasks(machine, commands);
         addStops(machine, commands);
         if (mayStart && machine.type != null) {
             addStarts(machine, commands, nowMicros);
@@ -39,8 +41,9 @@
     }
 
     /**
-     * For an answer to a heartbeat that teaches nothing: it renews the worker's lease all the same, and no renewal may
-     * carry a cancelled task along. To stop an attempt of a cancelled job is right however old the heartbeat.
+     * Selects the stop commands for the response to a heartbeat that is not reconciled. That response also renews the
+     * worker's lease, and a renewal must not keep a cancelled task alive. An attempt of a cancelled job may be stopped
+     * however old the heartbeat is.
      */
     public List<WorkerCommand> stopCommandsForCancelledTasks(Heartbeat heartbeat) {
         List<WorkerCommand> commands = new ArrayList<>();
@@ -57,19 +60,19 @@
     }
 
     /**
-     * Exits that are on record, so that no leader will ever start these attempts again. The last one is kept back, to
-     * prompt a heartbeat with it ({@link #heartbeatPromptCommand}).
+     * Adds commands to forget exits that the store holds, so that no leader starts these attempts again. If all exited
+     * tasks may be forgotten, the last one is held back to prompt a heartbeat ({@link #heartbeatPromptCommand}).
      */
     private void addForgets(Machine machine, List<WorkerCommand> commands) {
-        List<WorkerCommand> forgets = forgets(machine);
-        int kept = forgets.size() == machine.exitedTasks.size() ? 1 : 0;
-        int told = Math.min(forgets.size() - kept, MAX_FORGETS);
-        for (int i = 0; i < told; i++) {
+        List<WorkerCommand> forgets = forgetCommands(machine);
+        int heldBack = forgets.size() == machine.exitedTasks.size() ? 1 : 0;
+        int count = Math.min(forgets.size() - heldBack, MAX_FORGET_COMMANDS);
+        for (int i = 0; i < count; i++) {
             commands.add(forgets.get(i));
         }
     }
 
-    private static void addStopsOfUnbooked(Machine machine, List<WorkerCommand> commands) {
+    private static void addStopsOfUnbookedTasks(Machine machine, List<WorkerCommand> commands) {
         for (TaskStatus unbooked : machine.unbookedTasks) {
             if (commands.size() >= MAX_COMMANDS) {
                 return;
@@ -83,7 +86,7 @@
             if (!booking.isReported()) {
                 continue;
             }
-            // Not only after the cycle that asks for its end: the answer at hand renews the worker's lease.
+            // Does not wait for the admission cycle to request the stop: this response renews the worker's lease.
             if (booking.job().isCancelled()) {
                 booking.requestStop(0);
             }
@@ -95,58 +98,63 @@
     }
 
     private void addStarts(Machine machine, List<WorkerCommand> commands, long nowMicros) {
-        Room room = new Room(machine.type);
+        FreeCapacity freeCapacity = new FreeCapacity(machine.type);
         for (Booking booking : machine.bookings.values()) {
-            // The worker takes commands in turn, and a task that has no checkpoint to save exits at once.
-            if (booking.isReported() && (!booking.isStopRequested() || savesCheckpoint(booking))) {
-                room.take(booking.job().spec());
+            // The worker executes commands in order. A stopped task that saves no checkpoint exits at once, before the
+            // starts, so its capacity counts as free.
+            if (booking.isReported() && (!booking.isStopRequested() || willSaveCheckpoint(booking))) {
+                freeCapacity.allocate(booking.job().spec());
             }
         }
         for (Booking booking : machine.bookings.values()) {
             JobSpec spec = booking.job().spec();
-            if (!room.fits(spec) || commands.size() >= MAX_COMMANDS || !startAuthorization.allows(booking, nowMicros)) {
+            if (!freeCapacity.fits(spec)
+                    || commands.size() >= MAX_COMMANDS
+                    || !startAuthorization.allows(booking, nowMicros)) {
                 continue;
             }
-            room.take(spec);
+            freeCapacity.allocate(spec);
             booking.markStartSent();
             commands.add(WorkerCommand.start(booking.taskId(), booking.attempt()));
-            startAuthorization.started(booking);
+            startAuthorization.recordStart(booking);
         }
     }
 
-    /** What of a machine is taken while its commands are selected. */
-    private static final class Room {
+    /** Tracks the free capacity of a machine while its commands are selected. */
+    private static final class FreeCapacity {
         private final MachineType type;
         private double cpus;
         private double gpus;
         private double memoryGb;
 
-        Room(MachineType type) {
+        FreeCapacity(MachineType type) {
             this.type = type;
         }
 
-        void take(JobSpec spec) {
+        void allocate(JobSpec spec) {
             cpus += spec.cpus();
             gpus += spec.gpus();
             memoryGb += spec.memoryGb();
         }
 
         boolean fits(JobSpec spec) {
-            double slack = MachineType.EPSILON;
-            return cpus + spec.cpus() <= type.cpus() + slack
-                    && gpus + spec.gpus() <= type.gpus() + slack
-                    && memoryGb + spec.memoryGb() <= type.memoryGb() + slack;
+            double tolerance = MachineType.EPSILON;
+            return cpus + spec.cpus() <= type.cpus() + tolerance
+                    && gpus + spec.gpus() <= type.gpus() + tolerance
+                    && memoryGb + spec.memoryGb() <= type.memoryGb() + tolerance;
         }
     }
 
-    private static boolean savesCheckpoint(Booking booking) {
+    private static boolean willSaveCheckpoint(Booking booking) {
         boolean canSave = booking.job().spec().checkpointIntervalMicros() > 0
                 && booking.gracePeriodMicros() > 0
                 && booking.gracePeriodMicros() >= booking.job().spec().checkpointSaveMicros();
         return canSave && booking.isRunning();
     }
 
-    /** Whether something waits to be started there that only an answer to the machine's next heartbeat would bring. */
+    /**
+     * Whether a task waits for its start command, which only the response to the machine's next heartbeat can carry.
+     */
     public boolean needsHeartbeatPrompt(Machine machine) {
         for (Booking booking : machine.bookings.values()) {
             if (booking.isPersisted()
@@ -160,15 +168,15 @@
     }
 
     /**
-     * A command that makes the worker send a heartbeat at once, if there is one: to forget an exited task is a change,
-     * and only a heartbeat can be answered with a start.
+     * Returns a forget command that makes the worker send a heartbeat at once, if there is one. Workers report the
+     * change of their task list at once, and only the response to a heartbeat can carry a start command.
      */
     public Optional<WorkerCommand> heartbeatPromptCommand(Machine machine) {
-        List<WorkerCommand> forgets = forgets(machine);
+        List<WorkerCommand> forgets = forgetCommands(machine);
         return forgets.isEmpty() ? Optional.empty() : Optional.of(forgets.get(forgets.size() - 1));
     }
 
-    private List<WorkerCommand> forgets(Machine machine) {
+    private List<WorkerCommand> forgetCommands(Machine machine) {
         List<WorkerCommand> forgets = new ArrayList<>();
         for (TaskStatus task : machine.exitedTasks) {
             Job job = cluster.jobs.get(task.id().jobId());
--- a/src/main/java/org/weldcourse/workers/DirectCommands.java
+++ b/src/main/java/org/weldcourse/workers/DirectCommands.java
@@ -8,9 +8,9 @@
 import org.weldcourse.http.Caller;
 
 /**
- * Sends commands straight to workers, beside the answers to their heartbeats: stops that need not wait for the next one,
- * and forgets that prompt one. A late copy of either does no harm. Everything else that a worker may forget is told with
- * its next heartbeat: a request for it alone would cost more than the longer list.
+ * Sends commands to workers without waiting for their next heartbeat: stops, and single forget commands that prompt a
+ * heartbeat. Both are harmless when they arrive late or twice. All other forget commands go out with heartbeat
+ * responses, since a request of their own would cost more than the longer list of tasks in the heartbeats.
  */
 public final class DirectCommands {
     private static final long TIMEOUT_MICROS = 2_000_000;
@@ -22,7 +22,7 @@
     private final int maxInFlight;
     private int inFlight;
 
-    /** Sends at most {@code maxInFlight} messages at a time, under this leader's fencing token. */
+    /** Creates a sender with at most {@code maxInFlight} messages in flight, under this leader's fencing token. */
     public DirectCommands(
             ClusterState cluster, CommandSelector selector, Caller caller, long fencingToken, int maxInFlight) {
         this.cluster = cluster;
@@ -33,11 +33,11 @@
     }
 
     /**
-     * Sends what machines should hear before their next heartbeats, as far as messages in flight allow: the rest of a
-     * wave is told in the next cycle, or with the next heartbeats.
+     * Sends the commands that should not wait for the next heartbeats, up to the limit of messages in flight. The
+     * remaining commands go out in the next cycle or in heartbeat responses.
      *
-     * @param overloaded the leader is short of time: no heartbeats are prompted, since each costs a message and another
-     *     heartbeat
+     * @param overloaded whether the leader is overloaded; then no heartbeats are prompted, since each costs a message
+     *     and an additional heartbeat
      */
     public void send(boolean overloaded) {
         for (Machine machine : cluster.machines.values()) {
@@ -45,7 +45,7 @@
                 return;
             }
             if (machine.hasUnsentCommands && isReachable(machine)) {
-                List<WorkerCommand> commands = commands(machine, overloaded);
+                List<WorkerCommand> commands = selectCommands(machine, overloaded);
                 if (!commands.isEmpty()) {
                     post(machine, commands);
                 }
@@ -57,7 +57,7 @@
         return !machine.directCommandsInFlight && machine.reconciled && !machine.deleting && machine.address != null;
     }
 
-    private List<WorkerCommand> commands(Machine machine, boolean overloaded) {
+    private List<WorkerCommand> selectCommands(Machine machine, boolean overloaded) {
         machine.hasUnsentCommands = selector.needsHeartbeatPrompt(machine);
         List<WorkerCommand> commands = new ArrayList<>();
         if (machine.hasUnsentCommands && !overloaded) {
@@ -85,7 +85,7 @@
                         "/orders",
                         CommandCodec.encodeDirectMessage(fencingToken, machine.incarnation, commands),
                         TIMEOUT_MICROS),
-                answer -> {
+                response -> {
                     machine.directCommandsInFlight = false;
                     inFlight--;
                 });
--- a/src/main/java/org/weldcourse/workers/ExitCause.java
+++ b/src/main/java/org/weldcourse/workers/ExitCause.java
@@ -1,21 +1,21 @@
 package org.weldcourse.workers;
 
-/** Why a task ended on its machine. */
+/** Why an attempt of a task ended. */
 public enum ExitCause {
-    /** It completed; its result is kept. */
+    /** The task completed; its result is kept. */
     DONE,
-    /** It was stopped by command. */
+    /** The task was stopped by a command. */
     STOPPED,
-    /** Another task of its gang is gone. */
+    /** Another task of the gang was lost. */
     GANG_PEER_LOST,
-    /** Its gang was not complete within the gang wait. */
+    /** Not all tasks of the gang were ready within the gang wait. */
     GANG_INCOMPLETE,
-    /** It failed, or the cause is one that this version does not know. */
+    /** The task failed, or this version does not know the reported cause. */
     FAILED,
-    /** Its start was refused: too little of the machine is free. */
+    /** The start was refused: the free capacity of the machine is too small. */
     REFUSED_NO_ROOM,
-    /** Its start was refused: another attempt of the task is on the machine. */
+    /** The start was refused: another attempt of the task is on the machine. */
     REFUSED_OTHER_ATTEMPT,
-    /** Its start was refused: the worker found no such job or task. */
+    /** The start was refused: the worker found no such job or task. */
     REFUSED_UNKNOWN_TASK
 }
--- a/src/main/java/org/weldcourse/workers/HeartbeatCodec.java
+++ b/src/main/java/org/weldcourse/workers/HeartbeatCodec.java
@@ -8,9 +8,9 @@
 import org.weldcourse.http.Json;
 
 /**
- * Reads heartbeats off the wire: the protocol's field names stay in here. They are read as a stream, since hundreds
- * come in a second and most say little new. Unknown fields are skipped; one of the wrong type counts as missing. An
- * instance holds what was read of one heartbeat so far.
+ * Decodes heartbeats. The field names of the protocol are used only here. The JSON is parsed as a stream, because
+ * hundreds of heartbeats arrive per second. Unknown fields are skipped; a field of the wrong type counts as missing. An
+ * instance holds the fields of one heartbeat that were read so far.
  */
 public final class HeartbeatCodec {
     private final JsonParser in;
@@ -31,27 +31,27 @@
     }
 
     /**
-     * The heartbeat that the body of a request holds.
+     * Decodes the body of a heartbeat request.
      *
-     * @throws MalformedHeartbeatException if the body is no JSON object, lacks the machine's name, its incarnation or
-     *     the sequence number, or lists something that is no task: then the list as a whole shows nothing
+     * @throws MalformedHeartbeatException if the body is not a JSON object, if the machine's name, the incarnation or
+     *     the sequence number is missing, or if a listed task is malformed: with a partial list, tasks would seem lost
      */
     public static Heartbeat decode(byte[] body) throws MalformedHeartbeatException {
         try (JsonParser in = Json.reader(body)) {
-            return new HeartbeatCodec(in).heartbeat();
+            return new HeartbeatCodec(in).readHeartbeat();
         } catch (IOException malformed) {
             throw new MalformedHeartbeatException("not JSON", malformed);
         }
     }
 
-    private Heartbeat heartbeat() throws IOException, MalformedHeartbeatException {
+    private Heartbeat readHeartbeat() throws IOException, MalformedHeartbeatException {
         require(in.nextToken() == JsonToken.START_OBJECT, "not an object");
         while (in.nextToken() == JsonToken.FIELD_NAME) {
             String field = in.currentName();
             in.nextToken();
             readField(field);
         }
-        require(in.currentToken() == JsonToken.END_OBJECT, "the object has no end");
+        require(in.currentToken() == JsonToken.END_OBJECT, "unterminated object");
         require(machine != null, "forge is missing");
         require(incarnation >= 1, "shift is missing or less than 1");
         require(sequence >= 0, "stitch is missing or negative");
@@ -61,59 +61,60 @@
 
     private void readField(String field) throws IOException, MalformedHeartbeatException {
         switch (field) {
-            case "forge" -> machine = text();
-            case "addr" -> address = text();
-            case "rig" -> type = text();
-            case "yard" -> zone = text();
+            case "forge" -> machine = readText();
+            case "addr" -> address = readText();
+            case "rig" -> type = readText();
+            case "yard" -> zone = readText();
             case "loaners" -> spot = in.currentToken() == JsonToken.VALUE_TRUE;
-            case "shift" -> incarnation = integer(0);
-            case "stitch" -> sequence = integer(-1);
-            case "torch" -> fencingToken = integer(0);
-            case "recall_s" -> reclaimNoticeMicros = reclaimNotice();
-            case "beads" -> tasks = tasks();
+            case "shift" -> incarnation = readInteger(0);
+            case "stitch" -> sequence = readInteger(-1);
+            case "torch" -> fencingToken = readInteger(0);
+            case "recall_s" -> reclaimNoticeMicros = readReclaimNotice();
+            case "beads" -> tasks = readTasks();
             default -> in.skipChildren();
         }
     }
 
-    private long reclaimNotice() throws IOException {
+    private long readReclaimNotice() throws IOException {
         double seconds = in.currentToken().isNumeric() ? in.getDoubleValue() : -1;
         return seconds < 0 ? Heartbeat.NO_RECLAIM_NOTICE : Math.round(seconds * 1e6);
     }
 
-    private List<TaskStatus> tasks() throws IOException, MalformedHeartbeatException {
+    private List<TaskStatus> readTasks() throws IOException, MalformedHeartbeatException {
         if (in.currentToken() != JsonToken.START_ARRAY) {
             in.skipChildren();
             return List.of();
         }
-        List<TaskStatus> listed = new ArrayList<>();
+        List<TaskStatus> parsedTasks = new ArrayList<>();
         while (in.nextToken() == JsonToken.START_OBJECT) {
-            listed.add(task());
+            parsedTasks.add(readTask());
         }
         require(in.currentToken() == JsonToken.END_ARRAY, "an entry of beads is not an object");
-        return listed;
+        return parsedTasks;
     }
 
-    private TaskStatus task() throws IOException, MalformedHeartbeatException {
+    private TaskStatus readTask() throws IOException, MalformedHeartbeatException {
         String id = null;
-        String heat = null;
+        String state = null;
         int attempt = 0;
         String cause = null;
         while (in.nextToken() == JsonToken.FIELD_NAME) {
             String field = in.currentName();
             in.nextToken();
             switch (field) {
-                case "bead" -> id = text();
-                case "strike" -> attempt = (int) integer(0);
-                case "heat" -> heat = text();
-                case "cause" -> cause = text();
+                case "bead" -> id = readText();
+                case "strike" -> attempt = (int) readInteger(0);
+                case "heat" -> state = readText();
+                case "cause" -> cause = readText();
                 default -> in.skipChildren();
             }
         }
-        TaskState state = state(heat);
-        return new TaskStatus(TaskId.parse(id), attempt, state, state == TaskState.EXITED ? exitCause(cause) : null);
+        TaskState taskState = parseState(state);
+        return new TaskStatus(
+                TaskId.parse(id), attempt, taskState, taskState == TaskState.EXITED ? parseExitCause(cause) : null);
     }
 
-    private String text() throws IOException {
+    private String readText() throws IOException {
         if (in.currentToken() == JsonToken.VALUE_STRING) {
             return in.getText();
         }
@@ -121,28 +122,28 @@
         return null;
     }
 
-    private long integer(long otherwise) throws IOException {
+    private long readInteger(long defaultValue) throws IOException {
         if (in.currentToken() == JsonToken.VALUE_NUMBER_INT
                 && in.getNumberType() != JsonParser.NumberType.BIG_INTEGER) {
             return in.getLongValue();
         }
         in.skipChildren();
-        return otherwise;
+        return defaultValue;
     }
 
-    private static TaskState state(String heat) throws MalformedHeartbeatException {
-        return switch (String.valueOf(heat)) {
+    private static TaskState parseState(String state) throws MalformedHeartbeatException {
+        return switch (String.valueOf(state)) {
             case "fetching" -> TaskState.FETCHING_IMAGE;
             case "gathering" -> TaskState.WAITING_FOR_GANG;
             case "running" -> TaskState.RUNNING;
             case "saving" -> TaskState.SAVING_CHECKPOINT;
             case "exited" -> TaskState.EXITED;
-            default -> throw new MalformedHeartbeatException("a task's heat is unknown: " + heat);
+            default -> throw new MalformedHeartbeatException("a task's heat is unknown: " + state);
         };
     }
 
-    /** A cause that this version does not know is taken for a failure. */
-    private static ExitCause exitCause(String cause) {
+    /** Maps causes that this version does not know to {@link ExitCause#FAILED}. */
+    private static ExitCause parseExitCause(String cause) {
         return switch (String.valueOf(cause)) {
             case "done" -> ExitCause.DONE;
             case "stopped" -> ExitCause.STOPPED;
@@ -155,9 +156,9 @@
         };
     }
 
-    private static void require(boolean holds, String elseWrong) throws MalformedHeartbeatException {
-        if (!holds) {
-            throw new MalformedHeartbeatException(elseWrong);
+    private static void require(boolean condition, String message) throws MalformedHeartbeatException {
+        if (!condition) {
+            throw new MalformedHeartbeatException(message);
         }
     }
 }
--- a/src/main/java/org/weldcourse/workers/MalformedHeartbeatException.java
+++ b/src/main/java/org/weldcourse/workers/MalformedHeartbeatException.java
@@ -1,6 +1,6 @@
 package org.weldcourse.workers;
 
-/** Thrown for a body that is no heartbeat; the message says what is wrong, by the wire's field names. */
+/** Thrown for a body that is not a valid heartbeat; the message names the fields as the protocol does. */
 public final class MalformedHeartbeatException extends Exception {
     MalformedHeartbeatException(String message) {
         super(message);
--- a/src/main/java/org/weldcourse/workers/Reconciler.java
+++ b/src/main/java/org/weldcourse/workers/Reconciler.java
@@ -7,72 +7,75 @@
 import org.weldcourse.cluster.Machine;
 
 /**
- * Accepts or refuses workers' heartbeats, and has those accepted reconciled with the bookings. Only a newer heartbeat
- * counts, and only one that shows this leader's token: before that, an older leader's commands could still reach the
- * worker and make the heartbeat untrue.
+ * Accepts or refuses workers' heartbeats and reconciles the accepted ones with the bookings. A heartbeat is accepted if
+ * it is newer than the last one and carries this leader's fencing token. Until the worker has seen that token, commands
+ * of an older leader could still reach it and make its heartbeat outdated.
  */
 public final class Reconciler {
     private static final Logger LOG = LoggerFactory.getLogger(Reconciler.class);
 
     private final ClusterState cluster;
     private final long fencingToken;
-    private final BookingReconciliation bookings;
-    private final AnswerLossDetector answerLoss;
-    private final CommandSelector commands;
+    private final BookingReconciler bookingReconciler;
+    private final ResponseLossDetector responseLossDetector;
+    private final CommandSelector commandSelector;
 
-    /** A reconciler for the leader with this fencing token, whose workers' leases are this long. */
+    /** Creates a reconciler for the leader with this fencing token; worker leases last {@code leaseMicros}. */
     public Reconciler(
             ClusterState cluster,
-            CommandSelector commands,
+            CommandSelector commandSelector,
             long fencingToken,
             long leaseMicros,
             StartAuthorization startAuthorization) {
         this.cluster = cluster;
         this.fencingToken = fencingToken;
-        this.commands = commands;
-        this.answerLoss = new AnswerLossDetector(leaseMicros);
-        this.bookings = new BookingReconciliation(cluster, answerLoss, startAuthorization);
+        this.commandSelector = commandSelector;
+        this.responseLossDetector = new ResponseLossDetector(leaseMicros);
+        this.bookingReconciler = new BookingReconciler(cluster, responseLossDetector, startAuthorization);
     }
 
     /**
-     * What a heartbeat led to.
+     * The result of processing a heartbeat.
      *
-     * @param commands the answer's commands for the worker, in the order in which they are to be carried out
-     * @param changed whether something was learnt that the next admission cycle may use
+     * @param commands the commands of the response, in the order in which the worker is to execute them
+     * @param changed whether anything changed that the next admission cycle may use
      */
     public record Result(List<WorkerCommand> commands, boolean changed) {
-        static final Result NOTHING = new Result(List.of(), false);
+        static final Result EMPTY = new Result(List.of(), false);
     }
 
     /**
-     * Takes in a heartbeat and decides on the commands that answer it.
+     * Processes a heartbeat and selects the commands of the response.
      *
-     * @param mayStart whether the leader may start tasks at all now
+     * @param mayStart whether the leader may currently start tasks
      */
     public Result reconcile(Machine machine, Heartbeat heartbeat, boolean mayStart, long nowMicros) {
         if (!machine.isNewer(heartbeat)) {
-            return Result.NOTHING;
+            return Result.EMPTY;
         }
         if (heartbeat.fencingToken() != fencingToken) {
-            // Older than this term, if only by the way it took: it may speak of a machine long gone. The answer
-            // brings our token, and what the worker then says counts.
-            return new Result(commands.stopCommandsForCancelledTasks(heartbeat), false);
+            // Sent before the worker saw this leader's token, perhaps long ago: the machine may no longer exist. The
+            // response carries the token, and the next heartbeat is accepted.
+            return new Result(commandSelector.stopCommandsForCancelledTasks(heartbeat), false);
         }
         if (heartbeat.incarnation() > machine.incarnation) {
-            answerLoss.incarnationBegan(machine, nowMicros);
+            responseLossDetector.onNewIncarnation(machine, nowMicros);
             LOG.debug("{} incarnation {}", machine.name, heartbeat.incarnation());
         }
-        boolean changed = accept(machine, heartbeat, nowMicros);
+        boolean changed = updateMachine(machine, heartbeat, nowMicros);
         cluster.setPresentTasks(machine, heartbeat.tasks());
-        changed |= bookings.reconcile(machine, heartbeat.tasks(), nowMicros);
-        answerLoss.incarnationGoesOn(machine, nowMicros);
-        // A machine whose return the cloud did not confirm goes on: it starts nothing more, but what leaves it is free.
+        changed |= bookingReconciler.reconcile(machine, heartbeat.tasks(), nowMicros);
+        responseLossDetector.checkIncarnationOutlivesLease(machine, nowMicros);
+        // A machine whose deletion the cloud has not confirmed is still reconciled: it starts nothing more, but its
+        // exited tasks free their bookings.
         boolean mayStartThere = mayStart && !machine.isCordoned() && !machine.deleting;
-        return new Result(commands.answer(machine, mayStartThere, nowMicros), changed);
+        return new Result(commandSelector.selectCommands(machine, mayStartThere, nowMicros), changed);
     }
 
-    /** Whether the next admission cycle may use what the heartbeat says of the machine itself. */
-    private static boolean accept(Machine machine, Heartbeat heartbeat, long nowMicros) {
+    /**
+     * Updates the machine from the heartbeat; returns whether anything changed that the next admission cycle may use.
+     */
+    private static boolean updateMachine(Machine machine, Heartbeat heartbeat, long nowMicros) {
         machine.incarnation = heartbeat.incarnation();
         machine.heartbeatSequence = heartbeat.sequence();
         boolean changed = machine.lastHeartbeatMicros < 0 || !machine.reconciled;
@@ -85,12 +88,12 @@
         machine.address = heartbeat.address();
         machine.zone = heartbeat.zone();
         machine.spot = heartbeat.spot();
-        changed |= noteReclaim(machine, heartbeat, nowMicros);
+        changed |= recordReclaimNotice(machine, heartbeat, nowMicros);
         return changed;
     }
 
-    /** Whether this is the first that is heard of it that the cloud reclaims the machine. */
-    private static boolean noteReclaim(Machine machine, Heartbeat heartbeat, long nowMicros) {
+    /** Records when the cloud reclaims the machine; returns whether this is the first notice. */
+    private static boolean recordReclaimNotice(Machine machine, Heartbeat heartbeat, long nowMicros) {
         if (heartbeat.reclaimNoticeMicros() == Heartbeat.NO_RECLAIM_NOTICE) {
             return false;
         }
--- a/src/main/java/org/weldcourse/workers/StartAuthorization.java
+++ b/src/main/java/org/weldcourse/workers/StartAuthorization.java
@@ -11,52 +11,55 @@
 import org.weldcourse.cluster.QuotaUsage;
 
 /**
- * The one place that authorizes the start of a task. What the planner admitted is checked again here, since more may
- * count against a team's quota by now than when it was admitted: a task that is found on a machine without a booking,
- * for example.
+ * Authorizes every start of a task. It checks the admitted task once more, because the team's quota usage may have
+ * grown since the admission: for example by a task that is found on a machine without a booking.
  */
 public final class StartAuthorization {
     private static final Logger LOG = LoggerFactory.getLogger(StartAuthorization.class);
-    /** How often refusals for the same team are logged. */
-    private static final long LOG_AGAIN_MICROS = 30_000_000;
+    /** The minimum time between two log lines about refusals for the same team. */
+    private static final long REFUSAL_LOG_INTERVAL_MICROS = 30_000_000;
 
     private final ClusterState cluster;
     private final TeamQuotas quotas;
     private final StartCounts counts;
-    private final Map<String, Long> lastLoggedMicros = new HashMap<>();
+    private final Map<String, Long> lastLoggedMicrosByTeam = new HashMap<>();
 
-    /** What is asked of the teams' quotas before a start. */
+    /** The checks of a team's quota before a start. */
     public interface TeamQuotas {
         /** Whether the team's bookings alone exceed its limit. */
         boolean isOverbooked(String team);
 
-        /** Whether all that counts against the team's limit exceeds it. */
+        /** Whether the team's whole usage, bookings and unbooked tasks together, exceeds its limit. */
         boolean isLimitExceeded(String team);
 
-        /** The team's limit, for logs. */
+        /** Describes the team's limit for logs. */
         String describeLimit(String team);
     }
 
-    /** Authorizes the starts of one leader term; {@code counts} outlives it. */
+    /** Authorizes the starts of one leader term; {@code counts} continue over all terms of the process. */
     public StartAuthorization(ClusterState cluster, TeamQuotas quotas, StartCounts counts) {
         this.cluster = cluster;
         this.quotas = quotas;
         this.counts = counts;
     }
 
-    /** Whether the team's bookings alone exceed its limit, so that those that have not started are to be freed. */
+    /**
+     * Whether the team's bookings alone exceed its limit, so that bookings of tasks not yet started must be
+     * released.
+     */
     public boolean isOverbooked(String team) {
         return quotas.isOverbooked(team);
     }
 
     /**
-     * Whether the task may be started on its machine now, as far as records, job, machine and team go. A refusal for
-     * the team's limit is counted in the {@link StartCounts} and logged at most every 30 seconds per team.
+     * Whether the task may be started on its machine now: its admission is persisted, its job is open, no other
+     * attempt of it is on any machine and its team is within its limit. A refusal because of the limit is counted in
+     * {@link StartCounts} and logged at most every 30 seconds per team.
      *
      * @param nowMicros the time of the event loop, in microseconds
      */
     public boolean allows(Booking booking, long nowMicros) {
-        return isAdmitted(booking) && isOnNoOtherMachine(booking) && isWithinLimit(booking, nowMicros);
+        return isAdmitted(booking) && hasNoOtherAttempt(booking) && isWithinLimit(booking, nowMicros);
     }
 
     private static boolean isAdmitted(Booking booking) {
@@ -69,7 +72,7 @@
                 && !job.isStale();
     }
 
-    private boolean isOnNoOtherMachine(Booking booking) {
+    private boolean hasNoOtherAttempt(Booking booking) {
         Machine elsewhere = cluster.lastSeenOn(booking.taskId());
         if (elsewhere != null && elsewhere != booking.machine()) {
             return false;
@@ -88,56 +91,57 @@
             return true;
         }
         if (quotas.isOverbooked(team)) {
-            // The planner admits within limits, and bookings of an earlier leader beyond them were freed before.
+            // A violation: the planner admits within limits, and bookings of an earlier leader above them are already
+            // released.
             counts.countViolation();
-            if (mayLog(team, nowMicros)) {
+            if (shouldLogRefusal(team, nowMicros)) {
                 LOG.error(
-                        "{} attempt {} is not started on {}: {}",
+                        "refused to start {} attempt {} on {}: {}",
                         booking.taskId(),
                         booking.attempt(),
                         booking.machine().name,
-                        usageText(team));
+                        describeUsage(team));
             }
             return false;
         }
         counts.countWithheld();
-        if (mayLog(team, nowMicros)) {
+        if (shouldLogRefusal(team, nowMicros)) {
             LOG.info(
-                    "{} attempt {} waits on {} for what is not booked: {}",
+                    "withheld the start of {} attempt {} on {} because of unbooked tasks: {}",
                     booking.taskId(),
                     booking.attempt(),
                     booking.machine().name,
-                    usageText(team));
+                    describeUsage(team));
         }
         return false;
     }
 
-    private boolean mayLog(String team, long nowMicros) {
-        Long last = lastLoggedMicros.get(team);
-        boolean may = last == null || nowMicros - last >= LOG_AGAIN_MICROS;
-        if (may) {
-            lastLoggedMicros.put(team, nowMicros);
+    private boolean shouldLogRefusal(String team, long nowMicros) {
+        Long last = lastLoggedMicrosByTeam.get(team);
+        boolean shouldLog = last == null || nowMicros - last >= REFUSAL_LOG_INTERVAL_MICROS;
+        if (shouldLog) {
+            lastLoggedMicrosByTeam.put(team, nowMicros);
         }
-        return may;
+        return shouldLog;
     }
 
-    /** Counts the start of a task and logs, at debug level, why it was allowed. */
-    public void started(Booking booking) {
+    /** Counts the start of a task and logs, at debug level, the record and the quota usage that allowed it. */
+    public void recordStart(Booking booking) {
         counts.countStarted();
         if (LOG.isDebugEnabled()) {
             LOG.debug(
-                    "{} attempt {} is started on {}, on record in {}: {}",
+                    "starting {} attempt {} on {}, admission record {}: {}",
                     booking.taskId(),
                     booking.attempt(),
                     booking.machine().name,
                     booking.recordKey(),
-                    usageText(booking.job().spec().team()));
+                    describeUsage(booking.job().spec().team()));
         }
     }
 
-    private String usageText(String team) {
+    private String describeUsage(String team) {
         QuotaUsage usage = cluster.quotaUsage;
-        return "team " + team + " has " + usage.bookedBy(team) + " booked and " + usage.unbookedBy(team)
-                + " besides, of " + quotas.describeLimit(team);
+        return "team " + team + " uses " + usage.bookedBy(team) + " in bookings and " + usage.unbookedBy(team)
+                + " outside of bookings, limit " + quotas.describeLimit(team);
     }
 }
--- a/src/main/java/org/weldcourse/workers/StartCounts.java
+++ b/src/main/java/org/weldcourse/workers/StartCounts.java
@@ -1,6 +1,6 @@
 package org.weldcourse.workers;
 
-/** Counts of task starts since the process began, over all of its leader terms, for {@code /metrics}. */
+/** Counts task starts and refusals for {@code /metrics}, over all leader terms of the process. */
 public final class StartCounts {
     private long started;
     private long withheld;
@@ -18,17 +18,19 @@
         violations++;
     }
 
-    /** Tasks whose worker was told to start them. */
+    /** The number of start commands sent. */
     public long started() {
         return started;
     }
 
-    /** Starts that waited because tasks found without a booking count against the team's limit. */
+    /** The number of refusals because unbooked tasks take the team above its limit. */
     public long withheld() {
         return withheld;
     }
 
-    /** Starts refused because the team had more booked than its limit: each is a fault of this program. */
+    /**
+     * The number of refusals because the team's bookings alone exceed its limit: each shows a fault of the scheduler.
+     */
     public long violations() {
         return violations;
     }
--- a/src/main/java/org/weldcourse/workers/TaskId.java
+++ b/src/main/java/org/weldcourse/workers/TaskId.java
@@ -1,26 +1,26 @@
 package org.weldcourse.workers;
 
-/** A task of a job; on the wire {@code req-000412/3}. */
+/** Identifies a task by its job and its index; written as {@code req-000412/3}. */
 public record TaskId(String jobId, int index) {
 
     /**
-     * The task that the text names.
+     * Parses a task ID.
      *
-     * @throws MalformedHeartbeatException if it names none, or is null
+     * @throws MalformedHeartbeatException if the text is null or not a task ID
      */
     static TaskId parse(String text) throws MalformedHeartbeatException {
         int slash = text == null ? -1 : text.lastIndexOf('/');
         if (slash <= 0) {
-            throw new MalformedHeartbeatException("not a task: " + text);
+            throw new MalformedHeartbeatException("invalid task ID: " + text);
         }
         try {
             return new TaskId(text.substring(0, slash), Integer.parseInt(text.substring(slash + 1)));
         } catch (NumberFormatException notNumber) {
-            throw new MalformedHeartbeatException("not a task: " + text, notNumber);
+            throw new MalformedHeartbeatException("invalid task ID: " + text, notNumber);
         }
     }
 
-    // Written out: the ones that records get are slow without the optimizing compiler, and every heartbeat needs them.
+    // The generated methods of records are slow before JIT compilation, and every heartbeat calls these two.
     @Override
     public int hashCode() {
         return jobId.hashCode() * 31 + index;
--- a/src/main/java/org/weldcourse/workers/TaskState.java
+++ b/src/main/java/org/weldcourse/workers/TaskState.java
@@ -2,14 +2,14 @@
 
 /** The state of a task on its machine, as its worker reports it. */
 public enum TaskState {
-    /** It holds its place and waits for its image. */
+    /** The task has its resources allocated and waits for its image. */
     FETCHING_IMAGE,
-    /** It has its image and waits for the other tasks of its gang's attempt. */
+    /** The task has its image and waits for the other tasks of the gang's attempt. */
     WAITING_FOR_GANG,
-    /** It runs; of a gang that lost a task or is being stopped, until it exits. */
+    /** The task runs. A task whose gang lost a task or is being stopped stays in this state until it exits. */
     RUNNING,
-    /** It was told to stop and saves a checkpoint. */
+    /** The task was told to stop and saves a checkpoint. */
     SAVING_CHECKPOINT,
-    /** It ended, see its {@link ExitCause}; the worker lists it until it is told to forget it. */
+    /** The task ended with an {@link ExitCause}; the worker lists it until it is told to forget it. */
     EXITED
 }
--- a/src/main/java/org/weldcourse/workers/TaskStatus.java
+++ b/src/main/java/org/weldcourse/workers/TaskStatus.java
@@ -1,9 +1,9 @@
 package org.weldcourse.workers;
 
 /**
- * What a heartbeat says of one task on the machine.
+ * The status of one task on a machine, as a heartbeat lists it.
  *
- * @param attempt the number of the start that this is; of a gang, of all its tasks together
- * @param cause why it ended; null until it has exited
+ * @param attempt the number of the attempt; all tasks of a gang are started together and share it
+ * @param cause why the task ended; null until it has exited
  */
 public record TaskStatus(TaskId id, int attempt, TaskState state, ExitCause cause) {}
--- a/src/main/java/org/weldcourse/workers/WorkerLeaseRenewalBound.java
+++ b/src/main/java/org/weldcourse/workers/WorkerLeaseRenewalBound.java
@@ -3,49 +3,56 @@
 import org.weldcourse.settings.Settings;
 
 /**
- * Until when a leader may renew its workers' leases so that cancellations which it has not read of are still carried out
- * in time.
+ * Bounds the time until which a leader may renew its workers' leases, so that cancellations which it has not read yet
+ * still take effect within the cancellation time of the settings.
  *
- * <p>Any node may confirm a cancellation, also while the state service refuses the leader alone. Let the leader's last
- * complete read of the open jobs have been sent at {@code r}: what it does not know of was confirmed at {@code c >= r}. An
- * answer to a worker that is given before {@code r + cancel - lease - margin} answers a heartbeat that was sent before that,
- * so that without a further answer the worker's tasks are gone by {@code r + cancel - margin <= c + cancel - margin}. The
- * leader's own lease proves nothing here: its renewals may go on while its reads hang. Whatever it did read of is stopped
- * in every answer, so that no renewal carries a cancelled task along.
+ * <p>Any node may confirm a cancellation, even while the store refuses only the leader. Let {@code r} be the time at
+ * which the leader sent its last complete read of the open jobs. Every cancellation that it does not know was confirmed
+ * at some {@code c >= r}. A response that is sent before {@code r + cancel - lease - margin} answers a heartbeat sent
+ * before that time. Without a further response the worker's lease expires, and its tasks end by
+ * {@code r + cancel - margin <= c + cancel - margin}.
+ *
+ * <p>The leader's own lease does not help here: its renewals may succeed while its reads hang. Cancellations that the
+ * leader has read are part of every response as stop commands, so no renewal keeps such a task alive.
  */
 public final class WorkerLeaseRenewalBound {
     /**
-     * For the drift of two clocks over both spans (0.05% each: some 50 ms), and for a worker that looks at its lease, and
-     * ends what it has, a little late. Our own lateness needs none: a heartbeat is sent before it is answered. Where there is
-     * little time beyond the lease, a quarter of it has to do.
+     * Covers the drift of two clocks over both time spans (0.05% each, about 50 ms) and a worker that is late to check
+     * its lease and to end its tasks. A delay of the leader needs no margin, because a heartbeat is sent before its
+     * response. If the cancellation time is only a little longer than the lease, a quarter of the difference is used
+     * instead.
      */
     public static final long MARGIN_MICROS = 3_000_000;
-    /** Reads come once a second: of an older one too much may be unknown to start anything. */
-    private static final long FRESH_MICROS = 3_000_000;
+    /** Reads are sent once a second; after a longer gap, too many cancellations may be unknown to start tasks. */
+    private static final long MAX_READ_AGE_TO_START_MICROS = 3_000_000;
 
-    private static final long NEVER = Long.MIN_VALUE;
+    private static final long NEVER_READ = Long.MIN_VALUE;
 
-    private final long spanMicros;
-    private long readMicros = NEVER;
+    private final long maxReadAgeToRenewMicros;
+    private long lastReadSentMicros = NEVER_READ;
 
-    /** A bound for workers with these leases and cancellation times; nothing is allowed before the first read. */
+    /**
+     * Creates a bound from the lease and cancellation times of the settings; it allows nothing before the first read.
+     */
     public WorkerLeaseRenewalBound(Settings.Workers workers) {
         long beyondLeaseMicros = workers.cancelMicros() - workers.leaseMicros();
-        this.spanMicros = beyondLeaseMicros - Math.min(MARGIN_MICROS, beyondLeaseMicros / 4);
+        this.maxReadAgeToRenewMicros = beyondLeaseMicros - Math.min(MARGIN_MICROS, beyondLeaseMicros / 4);
     }
 
-    /** All changes to open jobs up to this time are known: that of the sending of a read which was answered whole. */
+    /** Records a complete read of the open jobs that was sent at this time: all earlier changes are known. */
     public void recordOpenJobsRead(long sentMicros) {
-        readMicros = Math.max(readMicros, sentMicros);
+        lastReadSentMicros = Math.max(lastReadSentMicros, sentMicros);
     }
 
-    /** Whether hardly anything can have been cancelled that is not known of. */
+    /** Whether the last read is recent enough to start tasks: few cancellations can be unknown. */
     public boolean isFreshAt(long nowMicros) {
-        return readMicros != NEVER && nowMicros - readMicros < FRESH_MICROS;
+        return lastReadSentMicros != NEVER_READ && nowMicros - lastReadSentMicros < MAX_READ_AGE_TO_START_MICROS;
     }
 
-    /** Never before the first whole read: a predecessor may have used up all the time that there was. */
+    /**
+     * Whether leases may be renewed; not before the first read, as the previous leader may have used up the whole time.
+     */
     public boolean mayRenewAt(long nowMicros) {
-        return readMicros != NEVER && nowMicros - readMicros < spanMicros;
+        return lastReadSentMicros != NEVER_READ && nowMicros - lastReadSentMicros < maxReadAgeToRenewMicros;
     }
 }
--- a/src/main/java/org/weldcourse/workers/package-info.java
+++ b/src/main/java/org/weldcourse/workers/package-info.java
@@ -1,7 +1,6 @@
 /**
- * What the leader and the workers tell each other: heartbeats in, commands out, on the wire ({@link
- * org.weldcourse.workers.HeartbeatCodec}, {@link org.weldcourse.workers.CommandCodec}) and in the code; the
- * reconciliation of heartbeats with the bookings; the authorization of task starts; and until when workers' leases may be
- * renewed.
+ * Communication between the leader and the workers: heartbeats and commands and their encoding
+ * ({@link org.weldcourse.workers.HeartbeatCodec}, {@link org.weldcourse.workers.CommandCodec}), the reconciliation of
+ * heartbeats with the bookings, the authorization of task starts, and the bound on the renewal of workers' leases.
  */
 package org.weldcourse.workers;
--- a/src/test/java/org/weldcourse/workers/HeartbeatCodecTest.java
+++ b/src/test/java/org/weldcourse/workers/HeartbeatCodecTest.java
@@ -11,9 +11,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.weldcourse.http.Json;
 
-/** Heartbeats on the wire. */
+/** Tests of {@link HeartbeatCodec}. */
 class HeartbeatCodecTest {
-    private static Map<String, Object> wire(List<Object> tasks) {
+    private static Map<String, Object> heartbeatBody(List<Object> tasks) {
         return Json.of(
                 "forge",
                 "m-1",
@@ -37,15 +37,15 @@
                 tasks);
     }
 
-    private static void assertMalformed(String why, byte[] body) {
+    private static void assertMalformed(String expectedMessage, byte[] body) {
         MalformedHeartbeatException malformed =
                 assertThrows(MalformedHeartbeatException.class, () -> HeartbeatCodec.decode(body));
-        assertEquals(why, malformed.getMessage());
+        assertEquals(expectedMessage, malformed.getMessage());
     }
 
     @Test
-    void everyFieldIsReadAndUnknownOnesAreIgnored() throws Exception {
-        Map<String, Object> body = wire(List.of(
+    void allFieldsAreDecodedAndUnknownFieldsIgnored() throws Exception {
+        Map<String, Object> body = heartbeatBody(List.of(
                 Json.of("bead", "req-000001/3", "strike", 2, "heat", "exited", "cause", "unheard_of"),
                 Json.of(
                         "bead",
@@ -87,25 +87,28 @@
         "busy, REFUSED_OTHER_ATTEMPT",
         "unknown, REFUSED_UNKNOWN_TASK"
     })
-    void exitCausesHaveTheirNames(String cause, ExitCause expected) throws Exception {
-        Map<String, Object> body = wire(List.of(Json.of("bead", "req-000001/3", "heat", "exited", "cause", cause)));
+    void exitCausesAreDecoded(String cause, ExitCause expected) throws Exception {
+        Map<String, Object> body =
+                heartbeatBody(List.of(Json.of("bead", "req-000001/3", "heat", "exited", "cause", cause)));
         assertEquals(
                 expected, HeartbeatCodec.decode(Json.bytes(body)).tasks().get(0).cause());
     }
 
     @Test
-    void malformedOnesAreRefusedWithWhatIsWrong() {
+    void malformedHeartbeatsAreRejectedWithReason() {
         assertMalformed("forge is missing", Json.bytes(Map.of()));
         assertMalformed("not an object", "[]".getBytes(StandardCharsets.UTF_8));
         assertMalformed("not JSON", "{\"forge\":".getBytes(StandardCharsets.UTF_8));
         assertMalformed(
-                "not a task: nothing", Json.bytes(wire(List.of(Json.of("bead", "nothing", "heat", "running")))));
+                "invalid task ID: nothing",
+                Json.bytes(heartbeatBody(List.of(Json.of("bead", "nothing", "heat", "running")))));
         assertMalformed(
-                "not a task: req-000001/x",
-                Json.bytes(wire(List.of(Json.of("bead", "req-000001/x", "heat", "running")))));
-        assertMalformed("a task's heat is unknown: null", Json.bytes(wire(List.of(Json.of("bead", "req-000001/3")))));
-        assertMalformed("an entry of beads is not an object", Json.bytes(wire(List.of("req-000001/3"))));
-        Map<String, Object> body = wire(List.of());
+                "invalid task ID: req-000001/x",
+                Json.bytes(heartbeatBody(List.of(Json.of("bead", "req-000001/x", "heat", "running")))));
+        assertMalformed(
+                "a task's heat is unknown: null", Json.bytes(heartbeatBody(List.of(Json.of("bead", "req-000001/3")))));
+        assertMalformed("an entry of beads is not an object", Json.bytes(heartbeatBody(List.of("req-000001/3"))));
+        Map<String, Object> body = heartbeatBody(List.of());
         body.put("shift", null);
         assertMalformed("shift is missing or less than 1", Json.bytes(body));
         body.put("shift", 1);
--- a/src/test/java/org/weldcourse/workers/ReconcilerTest.java
+++ b/src/test/java/org/weldcourse/workers/ReconcilerTest.java
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void everyAnswerHaltsWhatIsKnownAsCancelledEvenBeforeTheNextCycle() throws Exception {
+    void everyResponseStopsCancelledTasksBeforeTheNextCycle() throws Exception {
         Machine machine = cluster.getOrAddMachine("m-000001", 0);
         Booking booking = admit(1, machine);
         Job job = booking.job();
@@ -75,8 +75,7 @@
                 reconciler
                         .reconcile(machine, heartbeat(2, 7, booking.taskId()), true, 2_000)
                         .commands());
-        // Nor does one that teaches nothing carry it along: under another token, or while the machine is on its way
-        // out.
+        // The response carries the stop even if the heartbeat has another token or the machine is being deleted.
         assertEquals(
                 stop,
                 reconciler
@@ -92,7 +91,7 @@
     }
 
     @Test
-    void neitherOldHeartbeatsNorThoseUnderAnotherTokenTeachAnything() throws Exception {
+    void oldHeartbeatsAndThoseWithAnotherTokenChangeNothing() throws Exception {
         Machine machine = cluster.getOrAddMachine("m-000001", 0);
         Booking booking = admit(1, machine);
         assertFalse(reconciler
@@ -113,7 +112,7 @@
     }
 
     @Test
-    void whatANewerHeartbeatListsNoMoreIsPendingAgain() throws Exception {
+    void taskThatIsNoLongerListedBecomesPendingAgain() throws Exception {
         Machine machine = cluster.getOrAddMachine("m-000001", 0);
         Booking booking = admit(1, machine);
         reconciler.reconcile(machine, heartbeat(1, 7, booking.taskId()), true, 1_000);
@@ -126,17 +125,17 @@
     }
 
     @Test
-    void machineThatMissesTwoAnswersIsCordonedUntilOneArrives() throws Exception {
+    void machineThatMissesTwoResponsesIsCordonedUntilOneArrives() throws Exception {
         Machine machine = cluster.getOrAddMachine("m-000001", 0);
         Booking first = admit(1, machine);
         first.markStartSent();
         reconciler.reconcile(machine, heartbeat(1, 7, List.of()), false, 1_000);
         assertFalse(machine.isCordoned());
-        assertEquals(first, machine.bookings.get(first.taskId()), "it may be told to start again");
+        assertEquals(first, machine.bookings.get(first.taskId()), "the start may be repeated");
         first.markStartSent();
         reconciler.reconcile(machine, heartbeat(2, 7, List.of()), false, 2_000);
         assertTrue(machine.isCordoned());
-        assertTrue(machine.bookings.isEmpty(), "it is given up for another machine");
+        assertTrue(machine.bookings.isEmpty(), "released, so that another machine can be booked");
         Booking second = admit(2, machine);
         second.markStartSent();
         List<TaskStatus> listed = List.of(new TaskStatus(second.taskId(), 2, TaskState.FETCHING_IMAGE, null));
@@ -145,7 +144,7 @@
     }
 
     @Test
-    void leaseThatExpiresWhileHeartbeatsArriveShowsALostAnswer() {
+    void leaseExpiryWhileHeartbeatsArriveCountsAsLostResponse() {
         Machine machine = cluster.getOrAddMachine("m-000001", 0);
         for (long incarnation = 1; incarnation <= 3; incarnation++) {
             assertFalse(machine.isCordoned());
@@ -154,9 +153,9 @@
             reconciler.reconcile(machine, heartbeat, false, incarnation * 9_000_000);
         }
         assertTrue(machine.isCordoned());
-        // An incarnation that outlives one and a half leases had an answer.
+        // An incarnation that lasts longer than one and a half leases must have received a response.
         reconciler.reconcile(machine, heartbeat(9, 7, List.of()), false, 28_000_000);
-        assertTrue(machine.isCordoned(), "of an earlier incarnation");
+        assertTrue(machine.isCordoned(), "heartbeat of an earlier incarnation");
         Heartbeat later =
                 new Heartbeat("m-000001", "x:1", "large", "a", false, 3, 2, 7, Heartbeat.NO_RECLAIM_NOTICE, List.of());
         reconciler.reconcile(machine, later, false, 42_000_001);
--- a/src/test/java/org/weldcourse/workers/StartAuthorizationTest.java
+++ b/src/test/java/org/weldcourse/workers/StartAuthorizationTest.java
@@ -21,7 +21,7 @@
 import org.weldcourse.quota.QuotaInvariant;
 import org.weldcourse.quota.ResourceAmount;
 
-/** What may start, and what counts against a team's limit. */
+/** Tests of {@link StartAuthorization} and of the usage that counts against a team's limit. */
 class StartAuthorizationTest {
     private static final String TEAM = "core";
     private static final ResourceAmount LIMIT = ResourceAmount.limit(4, 2);
@@ -56,12 +56,12 @@
     }
 
     @BeforeEach
-    void anOpenJob() throws Exception {
+    void addOpenJob() throws Exception {
         job = new Job(spec("req-000001", 2, 1), 1, 0);
         cluster.jobs.put(job.spec().id(), job);
     }
 
-    private Booking booked(int task) {
+    private Booking persistedBooking(int task) {
         Booking booking = cluster.book(job, task, 1, machine, 0);
         booking.markPersisted();
         return booking;
@@ -72,26 +72,26 @@
     }
 
     @Test
-    void whatIsAdmittedWithinTheLimitStarts() {
+    void persistedBookingWithinTheLimitMayStart() {
         Booking booking = cluster.book(job, 0, 1, machine, 0);
-        assertFalse(startAuthorization.allows(booking, 0), "persist, then run");
+        assertFalse(startAuthorization.allows(booking, 0), "not persisted yet");
         booking.markPersisted();
         assertTrue(startAuthorization.allows(booking, 0));
     }
 
     @Test
-    void moreBookedThanTheLimitIsAViolation() {
-        Booking booking = booked(0);
-        booked(1);
-        booked(2);
+    void bookingsAboveTheLimitCountAsViolation() {
+        Booking booking = persistedBooking(0);
+        persistedBooking(1);
+        persistedBooking(2);
         assertFalse(startAuthorization.allows(booking, 0));
         assertEquals(1, counts.violations());
     }
 
     @Test
-    void whatIsNotBookedWithholdsStartsUntilItIsGone() {
-        Booking booking = booked(0);
-        booked(1);
+    void unbookedTaskWithholdsStartsUntilItIsGone() {
+        Booking booking = persistedBooking(0);
+        persistedBooking(1);
         Machine other = cluster.getOrAddMachine("m-000002", 0);
         cluster.setUnbookedTasks(other, List.of(running(job.spec().id(), 2, 7)));
         assertFalse(startAuthorization.allows(booking, 0));
@@ -104,7 +104,7 @@
     }
 
     @Test
-    void nonsenseInAReportIsChargedToNobodyElseAndHoldsWhatItMayHold() {
+    void unknownTasksInAHeartbeatCountOnlyAgainstTheirOwnTeam() {
         Machine other = cluster.getOrAddMachine("m-000002", 0);
         cluster.setUnbookedTasks(
                 other,
@@ -113,7 +113,7 @@
         assertEquals(
                 ResourceAmount.of(2, 1),
                 cluster.quotaUsage.unbookedBy(TEAM),
-                "beyond the job's size, and there all the same");
+                "an index beyond the job's size still counts");
         assertTrue(job.mayBeOnMachines());
         cluster.removeMachine(other, 0);
         assertEquals(0, cluster.tasksOfUnknownJobs());
@@ -122,24 +122,24 @@
     }
 
     @Test
-    void aBookingOverAnotherOnTheSameMachineFreesNothing() {
-        booked(0);
+    void newAttemptOnTheSameMachineKeepsTheUsageOfTheOldOne() {
+        persistedBooking(0);
         cluster.book(job, 0, 2, machine, 0);
         assertEquals(ResourceAmount.of(4, 2), cluster.quotaUsage.bookedBy(TEAM));
     }
 
     @Test
-    void aRecordOfUnknownTeamLeavesNoTeamAnyRoom() {
+    void unreadableRecordOfUnknownTeamWithholdsAllStarts() {
         cluster.quotaUsage.blockForUnreadableJob(null);
-        Booking booking = booked(0);
+        Booking booking = persistedBooking(0);
         assertFalse(startAuthorization.allows(booking, 0));
         assertEquals(0, counts.violations());
     }
 
     @Test
-    void aRecordOfWhatIsOutstandingComesBackAsItWasWritten() throws Exception {
-        booked(0);
-        booked(2);
+    void outstandingRecordIsRestoredAsWritten() throws Exception {
+        persistedBooking(0);
+        persistedBooking(2);
         ClusterState next = new ClusterState();
         Job back = OutstandingRecord.restore(
                 next, Json.objectOrEmpty(Json.bytes(OutstandingRecord.encode(job, 10_000))), 5);
@@ -149,10 +149,10 @@
         assertNull(back.booking(1));
     }
 
-    /** Such a job ends once there is evidence that nothing of it is left. */
+    /** A job whose record would be too large is closed only once no task of it can be left on a machine. */
     @Test
-    void aRecordOfWhatIsOutstandingKeepsToTheSizeOfValues() {
-        booked(0);
+    void outstandingRecordIsOmittedAboveTheMaximumSize() {
+        persistedBooking(0);
         assertNull(OutstandingRecord.encode(job, 300));
     }
 }
