--- a/src/main/java/org/weldcourse/jobs/AcceptedJob.java
+++ b/src/main/java/org/weldcourse/jobs/AcceptedJob.java
@@ -7,7 +7,7 @@
 import org.weldcourse.quota.ledger.SubmissionQuota.Grant;
 import org.weldcourse.store.Transaction;
 
-/** A job on its way into the store; {@code grant} is null where there are no reservations. */
+/** A validated job to be written to the store; {@code grant} is null if reservations are not in use. */
 record AcceptedJob(JobSpec spec, Grant grant, long acceptedWallMicros) {
 
     String id() {
@@ -23,7 +23,10 @@
         return new AcceptedJob(spec, Grant.none(owner), acceptedWallMicros);
     }
 
-    /** Whether the reservation's conditions alone did not hold: its budget was taken back, and the job is unknown as yet. */
+    /**
+     * Whether only conditions of the reservation failed: its quota budget was taken back, and the job was not accepted
+     * before.
+     */
     boolean isOnlyReservationOutdated(List<Object> failedKeys) {
         return grant.guards().keySet().containsAll(failedKeys);
     }
@@ -40,8 +43,11 @@
         return record;
     }
 
-    /** Puts the job's record, unless the job was ever accepted or its reservation's budget was taken back. */
-    Transaction write() {
+    /**
+     * The transaction that writes the job's record. It fails if the job was ever accepted before, or if the quota
+     * budget of its reservation was taken back.
+     */
+    Transaction toTransaction() {
         Transaction txn = new Transaction()
                 .ifModRevision(StoreKeys.openJob(id()), 0)
                 .ifModRevision(StoreKeys.finalState(id()), 0);
--- a/src/main/java/org/weldcourse/jobs/AdmissionRecordCodec.java
+++ b/src/main/java/org/weldcourse/jobs/AdmissionRecordCodec.java
@@ -5,14 +5,14 @@
 import org.weldcourse.http.Json;
 
 /**
- * A record under {@code slices/} of what is admitted of a job: for each machine its tasks by attempt, as ranges,
- * {@code "3:0-7,9;4:12"}, the highest attempt that was given out, the number of this write and, for jobs that are not too
- * large for it, the finished tasks as bits.
+ * Encodes and decodes the records of admitted tasks under {@code slices/}. A record holds, for each machine, the ranges
+ * of its tasks by attempt ({@code "3:0-7,9;4:12"}), the highest attempt number that was assigned, the number
+ * of this write and, unless the job is too large, a bit set of the finished tasks.
  */
 public final class AdmissionRecordCodec {
     private AdmissionRecordCodec() {}
 
-    /** {@code finished} is null where finished tasks are kept elsewhere. */
+    /** Encodes a record; {@code finished} is null if the finished tasks are kept in records of their own. */
     public static Map<String, Object> encode(
             AdmittedTasks admitted, int lastAttempt, int writeNumber, BitSet finished) {
         return Json.of(
@@ -26,60 +26,63 @@
                 finished == null ? null : FinishedTasksCodec.encode(finished));
     }
 
-    /** The last attempt that a record says was given out. */
+    /** The highest attempt number that was assigned when the record was written. */
     public static int lastAttempt(Map<String, Object> record) {
         return (int) Json.integer(record, "last", 0);
     }
 
-    /** The number of the write that an admission, or a shard of finished tasks, comes from. */
+    /** The number of the write that an admission record or a shard of finished tasks comes from. */
     public static int writeNumber(Map<String, Object> record) {
         return (int) Json.integer(record, FinishedTasksCodec.WRITE_NUMBER, 0);
     }
 
-    /** Visits the tasks of an admission. */
+    /** Visits the tasks of an admission record. */
     public interface Visitor {
-        /** A run of consecutive tasks of one machine and attempt. */
-        void tasks(String machine, int attempt, int first, int last);
+        /** Visits a range of consecutive tasks of one machine and attempt. */
+        void range(String machine, int attempt, int first, int last);
     }
 
     /**
-     * Visits what a record says is admitted.
+     * Visits the admitted tasks of a record.
      *
-     * @throws UnreadableRecordException at the first machine whose tasks can't be read, after a visit of what stands before
+     * @throws UnreadableRecordException at the first machine whose tasks can't be read; the ranges before it were
+     *     visited
      */
     public static void visit(Map<String, Object> record, Visitor visitor) {
         for (Map.Entry<String, Object> entry :
                 Json.object(record.get("machines")).entrySet()) {
             String machine = entry.getKey();
             if (!(entry.getValue() instanceof String tasksByAttempt)) {
-                throw new UnreadableRecordException("its tasks on " + machine + " are no text");
+                throw new UnreadableRecordException("tasks on " + machine + " are not a string");
             }
-            for (String ofAttempt : tasksByAttempt.split(";")) {
-                int colon = ofAttempt.indexOf(':');
+            for (String attemptRanges : tasksByAttempt.split(";")) {
+                int colon = attemptRanges.indexOf(':');
                 if (colon < 0) {
-                    throw new UnreadableRecordException("its tasks on " + machine + " name no attempt: " + ofAttempt);
+                    throw new UnreadableRecordException(
+                            "tasks on " + machine + " have no attempt number: " + attemptRanges);
                 }
-                int attempt = number(machine, ofAttempt.substring(0, colon));
-                for (String range : ofAttempt.substring(colon + 1).split(",")) {
+                int attempt = parseNumber(machine, attemptRanges.substring(0, colon));
+                for (String range : attemptRanges.substring(colon + 1).split(",")) {
                     int dash = range.indexOf('-');
-                    int first = number(machine, dash < 0 ? range : range.substring(0, dash));
-                    int last = dash < 0 ? first : number(machine, range.substring(dash + 1));
-                    visitor.tasks(machine, attempt, first, last);
+                    int first = parseNumber(machine, dash < 0 ? range : range.substring(0, dash));
+                    int last = dash < 0 ? first : parseNumber(machine, range.substring(dash + 1));
+                    visitor.range(machine, attempt, first, last);
                 }
             }
         }
     }
 
-    private static int number(String machine, String text) {
+    private static int parseNumber(String machine, String text) {
         try {
             return Integer.parseInt(text);
         } catch (NumberFormatException notANumber) {
-            throw new UnreadableRecordException("its tasks on " + machine + " are no ranges: " + text, notANumber);
+            throw new UnreadableRecordException(
+                    "tasks on " + machine + " contain an invalid number: " + text, notANumber);
         }
     }
 
     /**
-     * How many tasks a record says are admitted.
+     * The number of admitted tasks in a record.
      *
      * @throws UnreadableRecordException if a machine's tasks can't be read
      */
--- a/src/main/java/org/weldcourse/jobs/AdmittedTasks.java
+++ b/src/main/java/org/weldcourse/jobs/AdmittedTasks.java
@@ -7,13 +7,13 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Admitted tasks of one job in ascending order, by machine and attempt. */
+/** The admitted tasks of one job by machine and attempt, in ascending order. */
 public final class AdmittedTasks {
-    /** The frame of a record, with numbers of any length. */
-    private static final int FRAME_BYTES = 80;
+    /** The size of a record without its machines, with numbers of the maximum length. */
+    private static final int RECORD_OVERHEAD_BYTES = 80;
 
-    /** What stands around a machine's name and its tasks. */
-    private static final int MACHINE_BYTES = 6;
+    /** The size of the punctuation around a machine's name and its tasks. */
+    private static final int MACHINE_OVERHEAD_BYTES = 6;
 
     private final Map<String, TreeMap<Integer, BitSet>> byMachine = new LinkedHashMap<>();
 
@@ -29,7 +29,7 @@
                 .computeIfAbsent(attempt, number -> new BitSet());
     }
 
-    private boolean has(String machine, int attempt) {
+    private boolean contains(String machine, int attempt) {
         return byMachine.containsKey(machine) && byMachine.get(machine).containsKey(attempt);
     }
 
@@ -37,46 +37,48 @@
         return byMachine.isEmpty();
     }
 
-    /** Visits each run of consecutive tasks of a machine and attempt. */
+    /** Visits each range of consecutive tasks of a machine and attempt. */
     public void visit(AdmissionRecordCodec.Visitor visitor) {
         byMachine.forEach((machine, attempts) -> attempts.forEach((attempt, tasks) -> {
             for (int first = tasks.nextSetBit(0); first >= 0; ) {
                 int end = tasks.nextClearBit(first);
-                visitor.tasks(machine, attempt, first, end - 1);
+                visitor.range(machine, attempt, first, end - 1);
                 first = tasks.nextSetBit(end);
             }
         }));
     }
 
-    /** The same in parts that each take at most so many bytes of a record; none is larger than it has to be. */
+    /**
+     * Splits the tasks into parts whose records take at most {@code maxBytes} each, unless a single range takes more.
+     */
     public List<AdmittedTasks> split(int maxBytes) {
         Splitter splitter = new Splitter(maxBytes);
         visit(splitter);
         return splitter.parts();
     }
 
-    /** Fills one part after the other with runs of tasks. */
+    /** Fills one part after the other with ranges of tasks. */
     private static final class Splitter implements AdmissionRecordCodec.Visitor {
         private final int maxBytes;
         private final List<AdmittedTasks> parts = new ArrayList<>();
         private AdmittedTasks part = new AdmittedTasks();
-        private int usedBytes = FRAME_BYTES;
+        private int usedBytes = RECORD_OVERHEAD_BYTES;
 
         Splitter(int maxBytes) {
             this.maxBytes = maxBytes;
         }
 
         @Override
-        public void tasks(String machine, int attempt, int first, int last) {
-            int rangeBytes = range(first, last).length() + 1;
-            // A range of its own costs its machine and attempt once more at worst.
-            int bytes = machine.length() + MACHINE_BYTES + digits(attempt) + 1 + rangeBytes;
+        public void range(String machine, int attempt, int first, int last) {
+            int rangeBytes = formatRange(first, last).length() + 1;
+            // The maximum that this range adds, reached if its machine and attempt are not yet in the part.
+            int bytes = machine.length() + MACHINE_OVERHEAD_BYTES + digits(attempt) + 1 + rangeBytes;
             if (usedBytes + bytes > maxBytes && !part.isEmpty()) {
                 parts.add(part);
                 part = new AdmittedTasks();
-                usedBytes = FRAME_BYTES;
+                usedBytes = RECORD_OVERHEAD_BYTES;
             }
-            usedBytes += part.has(machine, attempt) ? rangeBytes : bytes;
+            usedBytes += part.contains(machine, attempt) ? rangeBytes : bytes;
             part.tasksOf(machine, attempt).set(first, last + 1);
         }
 
@@ -89,20 +91,23 @@
         }
     }
 
-    /** For each machine its tasks as a record states them: {@code "3:0-7,9;4:12"}, tasks 0 to 7 and 9 of attempt 3 and so on. */
+    /**
+     * The ranges of each machine in the form of a record: {@code "3:0-7,9;4:12"} is tasks 0 to 7 and 9 of attempt 3,
+     * and task 12 of attempt 4.
+     */
     Map<String, Object> byMachineAsRanges() {
         Map<String, Object> rangesByMachine = new LinkedHashMap<>();
-        byMachine.forEach((machine, attempts) -> rangesByMachine.put(machine, ranges(attempts)));
+        byMachine.forEach((machine, attempts) -> rangesByMachine.put(machine, formatRanges(attempts)));
         return rangesByMachine;
     }
 
-    private static String ranges(TreeMap<Integer, BitSet> tasksByAttempt) {
+    private static String formatRanges(TreeMap<Integer, BitSet> tasksByAttempt) {
         StringBuilder text = new StringBuilder();
         tasksByAttempt.forEach((attempt, tasks) -> {
             text.append(text.isEmpty() ? "" : ";").append(attempt).append(':');
             for (int first = tasks.nextSetBit(0); first >= 0; ) {
                 int end = tasks.nextClearBit(first);
-                text.append(range(first, end - 1));
+                text.append(formatRange(first, end - 1));
                 first = tasks.nextSetBit(end);
                 if (first >= 0) {
                     text.append(',');
@@ -116,7 +121,7 @@
         return Integer.toString(number).length();
     }
 
-    private static String range(int first, int last) {
+    private static String formatRange(int first, int last) {
         return first == last ? Integer.toString(first) : first + "-" + last;
     }
 }
--- a/src/main/java/org/weldcourse/jobs/FinalStateCodec.java
+++ b/src/main/java/org/weldcourse/jobs/FinalStateCodec.java
@@ -3,11 +3,14 @@
 import java.util.Map;
 import org.weldcourse.http.Json;
 
-/** The record under {@code final/}: how a job ended and how many of its tasks had finished by then. It is never changed. */
+/**
+ * Encodes and decodes records under {@code final/}: how a job ended and how many of its tasks finished. They never
+ * change.
+ */
 public final class FinalStateCodec {
     private FinalStateCodec() {}
 
-    /** The record of a job that is over, by its user's will or because all of its tasks are finished. */
+    /** Encodes the final state of a job that was cancelled by its user or whose tasks are all finished. */
     public static Map<String, Object> encode(boolean cancelled, int finishedTasks) {
         return Json.of("heat", cancelled ? JobStatus.CANCELLED : JobStatus.DONE, "done", finishedTasks);
     }
--- a/src/main/java/org/weldcourse/jobs/FinishedTasksCodec.java
+++ b/src/main/java/org/weldcourse/jobs/FinishedTasksCodec.java
@@ -6,8 +6,8 @@
 import org.weldcourse.http.Json;
 
 /**
- * Finished tasks as bits: in a job's admissions, or, of a job too large for that, in records under {@code done/} of their
- * own, each of which is a shard of consecutive tasks.
+ * Encodes and decodes the finished tasks of a job as bit sets. They are part of the job's admission record or, if the
+ * job is too large for that, of records under {@code done/}. Each of these records is a shard of consecutive tasks.
  */
 public final class FinishedTasksCodec {
     static final String BITS = "bits";
@@ -15,21 +15,23 @@
 
     private FinishedTasksCodec() {}
 
-    /** A shard whose first task follows from its number; {@code tasks} counts from that task on. */
+    /** Encodes a shard whose first task follows from the shard number; bit 0 of {@code tasks} is that task. */
     public static Map<String, Object> encodeShard(BitSet tasks, int writeNumber) {
         return Json.of(BITS, encode(tasks), WRITE_NUMBER, writeNumber);
     }
 
-    /** A shard that says which task is its first; {@code tasks} counts from that task on. */
+    /** Encodes a shard that states its first task; bit 0 of {@code tasks} is that task. */
     public static Map<String, Object> encodeShardFrom(int firstTask, BitSet tasks, int writeNumber) {
         Map<String, Object> record = encodeShard(tasks, writeNumber);
         record.put("from", firstTask);
         return record;
     }
 
-    /** The first task that a shard says it holds, or another number where that follows from the number of the shard. */
-    public static int firstTask(Map<String, Object> shard, long otherwise) {
-        return (int) Json.integer(shard, "from", otherwise);
+    /**
+     * The first task that a shard states, or {@code defaultTask} for a shard whose first task follows from its number.
+     */
+    public static int firstTask(Map<String, Object> shard, long defaultTask) {
+        return (int) Json.integer(shard, "from", defaultTask);
     }
 
     /** Encodes a set of tasks as base64. */
@@ -37,13 +39,13 @@
         return Base64.getEncoder().encodeToString(tasks.toByteArray());
     }
 
-    /** Bytes of a record that a set out of so many tasks takes at most. */
+    /** The maximum encoded length in bytes of a set of tasks out of the first {@code tasks}. */
     public static int maxEncodedBytes(int tasks) {
         return (tasks + 23) / 24 * 4;
     }
 
     /**
-     * The finished tasks that an admission or a shard holds, counted from the first task of the record.
+     * Decodes the finished tasks of an admission record or a shard; bit 0 is the first task of the record.
      *
      * @throws UnreadableRecordException if they are not base64
      */
@@ -55,7 +57,7 @@
         try {
             return BitSet.valueOf(Base64.getDecoder().decode(bits));
         } catch (IllegalArgumentException notBase64) {
-            throw new UnreadableRecordException("its finished tasks are not base64", notBase64);
+            throw new UnreadableRecordException("finished tasks are not base64", notBase64);
         }
     }
 }
--- a/src/main/java/org/weldcourse/jobs/InFlightRequests.java
+++ b/src/main/java/org/weldcourse/jobs/InFlightRequests.java
@@ -4,7 +4,7 @@
 import org.weldcourse.http.Server.Reply;
 import org.weldcourse.runtime.Clock;
 
-/** Bounds the users' requests that wait on the store, and measures how long users wait for answers. */
+/** Bounds the number of user requests that wait for the store, and measures the latency of all user requests. */
 final class InFlightRequests {
     private static final int MAX_IN_FLIGHT = 64;
     private static final int RETRY_AFTER_SECONDS = 1;
@@ -21,10 +21,12 @@
         return metrics;
     }
 
-    /** The reply by which a request is to be answered, or none: then it was refused, since too many are in flight. */
+    /**
+     * Returns the reply to answer the request with, or none if it was refused because too many requests are in flight.
+     */
     Optional<Reply> begin(Reply reply) {
         if (inFlight >= MAX_IN_FLIGHT) {
-            metrics.answered(429, 0);
+            metrics.recordResponse(429, 0);
             reply.refuse(429, "too many requests at once", RETRY_AFTER_SECONDS);
             return Optional.empty();
         }
@@ -36,11 +38,11 @@
         });
     }
 
-    /** A reply whose time from now on is measured; what is answered by it has a bound of its own. */
+    /** Returns a reply that measures the latency from now on, for requests that are bounded elsewhere. */
     Reply timed(Reply reply) {
-        long sinceMicros = clock.nowMicros();
+        long startMicros = clock.nowMicros();
         return (status, body, retryAfterSeconds) -> {
-            metrics.answered(status, clock.nowMicros() - sinceMicros);
+            metrics.recordResponse(status, clock.nowMicros() - startMicros);
             reply.send(status, body, retryAfterSeconds);
         };
     }
--- a/src/main/java/org/weldcourse/jobs/InvalidJobException.java
+++ b/src/main/java/org/weldcourse/jobs/InvalidJobException.java
@@ -1,20 +1,22 @@
 package org.weldcourse.jobs;
 
-/** Thrown for a submission, or a job's record, with a field that is missing or invalid; the message says which and why. */
+/**
+ * Thrown for a submission or a job record with a missing or invalid field; the message names the field and the rule.
+ */
 public final class InvalidJobException extends Exception {
     private final String field;
 
-    InvalidJobException(String field, String requirement) {
-        super("field " + field + " must be " + requirement);
+    InvalidJobException(String field, String rule) {
+        super("field " + field + " must be " + rule);
         this.field = field;
     }
 
-    /** The field, by the protocol's name. */
+    /** The name of the field in the protocol. */
     public String field() {
         return field;
     }
 
-    /** What the user is told in a 400. */
+    /** The text of the 400 response to the user. */
     String answer() {
         return "missing or invalid field: " + field;
     }
--- a/src/main/java/org/weldcourse/jobs/JobApi.java
+++ b/src/main/java/org/weldcourse/jobs/JobApi.java
@@ -14,10 +14,10 @@
 import org.weldcourse.store.Store;
 
 /**
- * What users may ask of any controller: to submit a job, to tell its status, to cancel it. This is the entry: it checks the
- * form of a request and bounds how many wait on the store. {@link JobSubmission}, {@link JobStatusQueries} and
- * {@link JobCancellation} then read or write the store and reply. Every answer rests on what the store holds; only final
- * states are remembered, as they can't change any more.
+ * Entry point for user requests on every controller: submit a job, query its status, cancel it. It checks that a
+ * request is well formed and bounds the number of requests that wait for the store. {@link JobSubmission},
+ * {@link JobStatusQueries} and {@link JobCancellation} then access the store and reply. Answers always come from the
+ * store; only final states are cached, because they can't change.
  */
 public final class JobApi {
     private final InFlightRequests requests;
@@ -25,7 +25,7 @@
     private final JobStatusQueries statusQueries;
     private final JobCancellation cancellation;
 
-    /** The users' interface of a node; {@code machineTypes} are empty as long as they are unknown. */
+    /** Creates the API of a node; {@code machineTypes} supplies an empty list until the machine types are known. */
     public JobApi(
             Store store,
             Settings settings,
@@ -44,14 +44,14 @@
                 new JobCancellation(store, statusQueries, settings.storeLimits().safeValueBytes());
     }
 
-    /** What users' requests came to since this was last asked. */
+    /** The metrics of all user requests. */
     public RequestMetrics requestMetrics() {
         return requests.metrics();
     }
 
     /**
-     * Accepts the job that the body describes: 201, or 200 with its status when it was accepted before. 400 if the body is
-     * malformed, 422 if the job can never run, 429 or 503 if the user is to try again.
+     * Accepts the job that the body describes: 201, or 200 with its status if it was accepted before. 400 if the body
+     * is malformed, 422 if the job can never run, 429 or 503 if the user should retry.
      */
     public void submit(byte[] body, Reply reply) {
         JobSpec spec;
@@ -68,13 +68,13 @@
             JobReplies.malformed(reply, invalid.answer());
             return;
         }
-        Optional<Reply> counted = requests.begin(reply);
-        if (counted.isPresent()) {
-            submission.submit(spec, counted.get());
+        Optional<Reply> boundedReply = requests.begin(reply);
+        if (boundedReply.isPresent()) {
+            submission.submit(spec, boundedReply.get());
         }
     }
 
-    /** Tells the status of a job: 200, or 404 if it was never accepted; 429 or 503 if the user is to ask again. */
+    /** Returns the status of a job: 200, or 404 if it was never accepted; 429 or 503 if the user should retry. */
     public void status(String id, Reply reply) {
         if (!JobSpecCodec.isJobId(id)) {
             JobReplies.noSuchJob(reply);
@@ -85,17 +85,17 @@
     }
 
     /**
-     * Cancels a job: 200 with its status, which is "done" if it ended before; 404 if it was never accepted; 429 or 503 if
-     * the user is to try again.
+     * Cancels a job: 200 with its status, which is "done" if all tasks finished before; 404 if it was never accepted;
+     * 429 or 503 if the user should retry.
      */
     public void cancel(String id, Reply reply) {
         if (!JobSpecCodec.isJobId(id)) {
             JobReplies.noSuchJob(reply);
             return;
         }
-        Optional<Reply> counted = requests.begin(reply);
-        if (counted.isPresent()) {
-            cancellation.cancel(id, counted.get());
+        Optional<Reply> boundedReply = requests.begin(reply);
+        if (boundedReply.isPresent()) {
+            cancellation.cancel(id, boundedReply.get());
         }
     }
 }
--- a/src/main/java/org/weldcourse/jobs/JobCancellation.java
+++ b/src/main/java/org/weldcourse/jobs/JobCancellation.java
@@ -11,8 +11,8 @@
 import org.weldcourse.store.Transaction;
 
 /**
- * Cancels a job by a compare-and-swap on its record, which the leader learns of by its watch. The request is idempotent: a
- * job that is cancelled already is answered as such, and one that is over with how it ended.
+ * Cancels a job by a compare-and-swap on its record; the leader sees the change through its watch. The request is
+ * idempotent: the answer for a job that is already cancelled or finished is its status.
  */
 final class JobCancellation {
     private static final Logger LOG = LoggerFactory.getLogger(JobCancellation.class);
@@ -28,12 +28,12 @@
         this.maxRecordBytes = maxRecordBytes;
     }
 
-    /** Cancels an open job, and answers then. */
+    /** Cancels the job if it is open, then replies with its status. */
     void cancel(String id, Reply reply) {
         readAndCancel(id, MAX_TRIES, reply);
     }
 
-    private void readAndCancel(String id, int tries, Reply reply) {
+    private void readAndCancel(String id, int triesLeft, Reply reply) {
         store.get(StoreKeys.openJob(id), read -> {
             if (read.outcome() == Outcome.REFUSED) {
                 statusQueries.answerFinal(id, reply, () -> JobReplies.noSuchJob(reply));
@@ -42,16 +42,16 @@
             } else if (JobRecordCodec.isCancelled(read.entry().value())) {
                 JobReplies.status(reply, JobStatus.cancelled(id));
             } else {
-                write(id, read.entry(), tries, reply);
+                writeCancellation(id, read.entry(), triesLeft, reply);
             }
         });
     }
 
-    private void write(String id, Entry openJob, int tries, Reply reply) {
+    private void writeCancellation(String id, Entry openJob, int triesLeft, Reply reply) {
         Map<String, Object> record = openJob.value();
         JobRecordCodec.setCancelled(record);
         if (Json.bytes(record).length > maxRecordBytes) {
-            // Accepted under larger limits: what places its tasks is not needed any more.
+            // The job was accepted under larger limits. Removing the fields for scheduling makes room for the flag.
             JobRecordCodec.clearFieldsUnneededAfterCancellation(record);
         }
         Transaction txn = new Transaction()
@@ -62,9 +62,10 @@
             if (outcome == Outcome.OK) {
                 LOG.info("{}: cancelled by its user, revision {}", id, commit.revision());
                 JobReplies.status(reply, JobStatus.cancelled(id));
-            } else if (tries > 1 && (outcome == Outcome.REFUSED || outcome == Outcome.UNKNOWN)) {
-                // The record is another by now, perhaps by this very write: reading it tells.
-                readAndCancel(id, tries - 1, reply);
+            } else if (triesLeft > 1 && (outcome == Outcome.REFUSED || outcome == Outcome.UNKNOWN)) {
+                // The record has changed, or this write may have been applied without a response: read the record
+                // again.
+                readAndCancel(id, triesLeft - 1, reply);
             } else {
                 JobReplies.storeFailed(reply, outcome);
             }
--- a/src/main/java/org/weldcourse/jobs/JobRecordCodec.java
+++ b/src/main/java/org/weldcourse/jobs/JobRecordCodec.java
@@ -4,16 +4,17 @@
 import org.weldcourse.http.Json;
 
 /**
- * The record of an accepted job under {@code open/}: the submission as {@link JobSpecCodec} writes it, when it was accepted
- * and whether its user cancelled it. A reservation of quota may stand beside them.
+ * Encodes and decodes the record of an accepted job under {@code open/}: the fields of the submission as in
+ * {@link JobSpecCodec}, the time of acceptance and whether the user cancelled the job. It may also hold a quota
+ * reservation.
  */
 public final class JobRecordCodec {
-    /** Stands for text that a cancelled job's record has no room for. */
-    private static final String LEFT_OUT = "-";
+    /** Replaces the value of text fields that are cleared; the fields must not be empty. */
+    private static final String CLEARED_TEXT = "-";
 
     private JobRecordCodec() {}
 
-    /** The record of a job; {@code acceptedWallMicros} is the time of day of the node that accepted it. */
+    /** Encodes the record of a job; {@code acceptedWallMicros} is the wall-clock time of the node that accepted it. */
     public static Map<String, Object> encode(JobSpec spec, long acceptedWallMicros, boolean cancelled) {
         Map<String, Object> record = JobSpecCodec.encode(spec);
         record.put("accepted", acceptedWallMicros);
@@ -22,7 +23,7 @@
     }
 
     /**
-     * The job that a record describes.
+     * Decodes the job that a record describes.
      *
      * @throws InvalidJobException for the first field that is missing or invalid
      */
@@ -30,17 +31,17 @@
         return JobSpecCodec.decode(record);
     }
 
-    /** The job's team, or null where not even that can be read. */
+    /** The job's team, or null if it can't be read. */
     public static String team(Map<String, Object> record) {
         return Json.text(record, "crew");
     }
 
-    /** Whether a job's record says that its user cancelled it. */
+    /** Whether the user cancelled the job. */
     public static boolean isCancelled(Map<String, Object> record) {
         return Json.flag(record, "cancelled");
     }
 
-    /** When the job was accepted, by the time of day of the node that accepted it; 0 where that is not on record. */
+    /** When the job was accepted, by the wall clock of the node that accepted it; 0 if the record does not state it. */
     public static long acceptedWallMicros(Map<String, Object> record) {
         return Json.integer(record, "accepted", 0);
     }
@@ -49,10 +50,13 @@
         record.put("cancelled", true);
     }
 
-    /** Leaves out of a record what is not needed to end a job that starts nothing more; its team and size are, for the quota. */
+    /**
+     * Clears the fields that are needed only to start tasks. The team and the size of tasks stay, because quota usage
+     * needs them.
+     */
     public static void clearFieldsUnneededAfterCancellation(Map<String, Object> record) {
         record.put("rigs", null);
-        record.put("course", LEFT_OUT);
-        record.put("blank", LEFT_OUT);
+        record.put("course", CLEARED_TEXT);
+        record.put("blank", CLEARED_TEXT);
     }
 }
--- a/src/main/java/org/weldcourse/jobs/JobReplies.java
+++ b/src/main/java/org/weldcourse/jobs/JobReplies.java
@@ -4,10 +4,13 @@
 import org.weldcourse.http.Server.Reply;
 import org.weldcourse.store.Store.Outcome;
 
-/** The answers to users, with their statuses. A user repeats what is answered with 429 or 503, and nothing else. */
+/**
+ * The responses to users, with their status codes. Users retry requests that are answered with 429 or 503, and no
+ * others.
+ */
 final class JobReplies {
-    private static final int SOON_SECONDS = 1;
-    private static final int STORE_AWAY_SECONDS = 2;
+    private static final int RETRY_SOON_SECONDS = 1;
+    private static final int STORE_UNAVAILABLE_RETRY_SECONDS = 2;
 
     private JobReplies() {}
 
@@ -19,36 +22,36 @@
         reply.send(200, status.body());
     }
 
-    static void malformed(Reply reply, String why) {
-        reply.send(400, Json.of("error", why));
+    static void malformed(Reply reply, String reason) {
+        reply.send(400, Json.of("error", reason));
     }
 
     static void noSuchJob(Reply reply) {
         reply.send(404, Json.of("error", "no such job"));
     }
 
-    static void canNeverRun(Reply reply, String why) {
-        reply.send(422, Json.of("error", why));
+    static void canNeverRun(Reply reply, String reason) {
+        reply.send(422, Json.of("error", reason));
     }
 
     static void tooManyQueries(Reply reply) {
-        reply.refuse(429, "too many questions at once", SOON_SECONDS);
+        reply.refuse(429, "too many questions at once", RETRY_SOON_SECONDS);
     }
 
     static void machineTypesUnknown(Reply reply) {
-        reply.refuse(503, "machine types are not known yet", SOON_SECONDS);
+        reply.refuse(503, "machine types are not known yet", RETRY_SOON_SECONDS);
     }
 
     static void tryAgain(Reply reply) {
-        reply.refuse(503, "try again", SOON_SECONDS);
+        reply.refuse(503, "try again", RETRY_SOON_SECONDS);
     }
 
-    /** The store did not do what the request needs, or it is not known whether it did. */
+    /** The store refused the operation, or its result is unknown. */
     static void storeFailed(Reply reply, Outcome outcome) {
         if (outcome == Outcome.RATE_LIMITED) {
-            reply.refuse(429, "the state service's budget is spent", SOON_SECONDS);
+            reply.refuse(429, "the state service's budget is spent", RETRY_SOON_SECONDS);
         } else {
-            reply.refuse(503, "the state service does not answer", STORE_AWAY_SECONDS);
+            reply.refuse(503, "the state service does not answer", STORE_UNAVAILABLE_RETRY_SECONDS);
         }
     }
 }
--- a/src/main/java/org/weldcourse/jobs/JobSpecCodec.java
+++ b/src/main/java/org/weldcourse/jobs/JobSpecCodec.java
@@ -9,8 +9,9 @@
 import org.weldcourse.jobs.JobSpec.Priority;
 
 /**
- * A job in the protocol's names, as users submit it and as its record repeats it. This is the one place where these names
- * are mapped to the code's. Amounts and durations are decimals, durations in seconds.
+ * Encodes and decodes a job with the field names of the protocol, which submissions and job records share. These names
+ * are mapped to those of {@link JobSpec} only here. Amounts and durations are decimal numbers; durations are in
+ * seconds.
  */
 public final class JobSpecCodec {
     static final int MAX_TASKS = 100_000;
@@ -18,12 +19,12 @@
     private static final String ID_PREFIX = "req-";
 
     private static final double MICROS_PER_SECOND = 1e6;
-    /** Longer durations are cut to this, so that their sums stay in range. */
+    /** Longer durations are reduced to this, so that sums of durations in microseconds do not overflow. */
     private static final double MAX_SECONDS = 1e12;
 
     private JobSpecCodec() {}
 
-    /** Whether this is a job's id: {@code req-} and digits. Anything else names no job. */
+    /** Whether the text is a valid job ID: {@code req-} followed by digits. */
     public static boolean isJobId(String text) {
         if (text == null
                 || !text.startsWith(ID_PREFIX)
@@ -35,7 +36,7 @@
     }
 
     /**
-     * Reads a job from a submission or from its record; fields that it does not know are ignored.
+     * Decodes a job from a submission or from its record; unknown fields are ignored.
      *
      * @throws InvalidJobException for the first field that is missing or invalid
      */
@@ -77,7 +78,7 @@
                 body.get("due_s") == null ? 0 : micros(body, "due_s"));
     }
 
-    /** Writes a job so that {@link #decode} reads the same one. */
+    /** Encodes a job so that {@link #decode} returns an equal one. */
     static Map<String, Object> encode(JobSpec spec) {
         Map<String, Object> body = new LinkedHashMap<>();
         body.put("name_id", spec.id());
--- a/src/main/java/org/weldcourse/jobs/JobStatus.java
+++ b/src/main/java/org/weldcourse/jobs/JobStatus.java
@@ -4,20 +4,20 @@
 import org.weldcourse.http.Json;
 
 /**
- * What a user is told of a job. {@code state} is one of {@link #QUEUED}, {@link #RUNNING}, {@link #DONE} and
- * {@link #CANCELLED}; the counts of tasks are for display.
+ * The status of a job, as reported to users. {@code state} is one of {@link #QUEUED}, {@link #RUNNING}, {@link #DONE}
+ * and {@link #CANCELLED}; the task counts are only for display.
  */
 record JobStatus(String id, String state, int finishedTasks, int runningTasks) {
-    /** Accepted, and nothing of it is admitted. */
+    /** The job is accepted, but none of its tasks is admitted. */
     static final String QUEUED = "queued";
 
-    /** Some of its tasks are admitted. */
+    /** Some tasks are admitted. */
     static final String RUNNING = "running";
 
-    /** All of its tasks are finished; this is final. */
+    /** All tasks are finished; this state is final. */
     static final String DONE = "done";
 
-    /** Its user cancelled it; this is final. */
+    /** The user cancelled the job; this state is final. */
     static final String CANCELLED = "cancelled";
 
     static JobStatus queued(String id) {
@@ -28,12 +28,12 @@
         return new JobStatus(id, CANCELLED, 0, 0);
     }
 
-    /** The status of an open job that is not cancelled, with so many tasks admitted. */
+    /** The status of an open job that is not cancelled and has this number of admitted tasks. */
     static JobStatus open(String id, int admittedTasks) {
         return new JobStatus(id, admittedTasks > 0 ? RUNNING : QUEUED, 0, admittedTasks);
     }
 
-    /** The body of an answer, in the protocol's names. */
+    /** The body of the response, with the field names of the protocol. */
     Map<String, Object> body() {
         return Json.of("name_id", id, "heat", state, "done", finishedTasks, "running", runningTasks);
     }
--- a/src/main/java/org/weldcourse/jobs/JobStatusQueries.java
+++ b/src/main/java/org/weldcourse/jobs/JobStatusQueries.java
@@ -8,14 +8,17 @@
 import org.weldcourse.store.Store;
 import org.weldcourse.store.Store.Outcome;
 
-/** Tells users the status of jobs, from the view of the open jobs and from the records of final states. */
+/** Answers status queries from the view of the open jobs and from the records of final states. */
 final class JobStatusQueries {
     private static final Logger LOG = LoggerFactory.getLogger(JobStatusQueries.class);
-    private static final int MAX_REMEMBERED = 4_000;
+    private static final int MAX_CACHED_FINAL_STATES = 4_000;
 
     private final Store store;
     private final OpenJobsView openJobs;
-    /** Final states, the only ones that may be remembered; made for the first of them, since it is dear to a start. */
+    /**
+     * Only final states may be cached. Created with the first entry, because its creation would delay the start of the
+     * process.
+     */
     private Cache<String, JobStatus> finalStates;
 
     JobStatusQueries(Store store, OpenJobsView openJobs) {
@@ -23,66 +26,67 @@
         this.openJobs = openJobs;
     }
 
-    /** Whether this node knows of an earlier submission of the job, without asking anyone: a hint, not an answer. */
+    /** Whether this node has seen the job before; a hint from local state, which may be out of date. */
     boolean hasSeen(String id) {
-        return openJobs.hasSeen(id) || remembered(id) != null;
+        return openJobs.hasSeen(id) || cached(id) != null;
     }
 
     /**
-     * Answers with the job's status, or runs {@code absent} when it was never accepted. Looks among the open jobs first, then
-     * for a final state: a job moves from the one to the other in one transaction, never back.
+     * Replies with the job's status, or runs {@code onNotFound} if it was never accepted. The open jobs are read before
+     * the final states: a job moves from the former to the latter in one transaction and never back, so it can't be
+     * missed.
      */
-    void answer(String id, Reply reply, Runnable absent) {
-        JobStatus remembered = remembered(id);
-        if (remembered != null) {
-            JobReplies.status(reply, remembered);
+    void answer(String id, Reply reply, Runnable onNotFound) {
+        JobStatus cached = cached(id);
+        if (cached != null) {
+            JobReplies.status(reply, cached);
             return;
         }
         if (openJobs.isFull()) {
             JobReplies.tooManyQueries(reply);
             return;
         }
-        openJobs.ask(id, (outcome, found) -> {
+        openJobs.query(id, (outcome, result) -> {
             if (outcome != Outcome.OK) {
                 JobReplies.storeFailed(reply, outcome);
-            } else if (!found.isOpen()) {
-                answerFinal(id, reply, absent);
-            } else if (found.isCancelled()) {
+            } else if (!result.isOpen()) {
+                answerFinal(id, reply, onNotFound);
+            } else if (result.isCancelled()) {
                 JobReplies.status(reply, JobStatus.cancelled(id));
             } else {
-                JobReplies.status(reply, JobStatus.open(id, found.admittedTasks()));
+                JobReplies.status(reply, JobStatus.open(id, result.admittedTasks()));
             }
         });
     }
 
-    /** Answers with the final state of a job that is not open, or runs {@code absent} when it has none. */
-    void answerFinal(String id, Reply reply, Runnable absent) {
+    /** Replies with the final state of a job that is not open, or runs {@code onNotFound} if it has none. */
+    void answerFinal(String id, Reply reply, Runnable onNotFound) {
         store.get(StoreKeys.finalState(id), read -> {
             if (read.outcome() == Outcome.REFUSED) {
-                absent.run();
+                onNotFound.run();
             } else if (read.outcome() != Outcome.OK) {
                 JobReplies.storeFailed(reply, read.outcome());
             } else {
                 JobStatus status = FinalStateCodec.decode(id, read.entry().value());
                 LOG.debug(
-                        "{}: answered as {}, final since revision {}",
+                        "{}: answered with final state {} of revision {}",
                         id,
                         status.state(),
                         read.entry().modRevision());
-                remember(status);
+                cache(status);
                 JobReplies.status(reply, status);
             }
         });
     }
 
-    private JobStatus remembered(String id) {
+    private JobStatus cached(String id) {
         return finalStates == null ? null : finalStates.getIfPresent(id);
     }
 
-    private void remember(JobStatus status) {
+    private void cache(JobStatus status) {
         if (finalStates == null) {
             finalStates = Caffeine.newBuilder()
-                    .maximumSize(MAX_REMEMBERED)
+                    .maximumSize(MAX_CACHED_FINAL_STATES)
                     .executor(Runnable::run)
                     .build();
         }
--- a/src/main/java/org/weldcourse/jobs/JobSubmission.java
+++ b/src/main/java/org/weldcourse/jobs/JobSubmission.java
@@ -11,8 +11,8 @@
 import org.weldcourse.store.Store.Outcome;
 
 /**
- * Accepts jobs by a compare-and-swap that succeeds once for each id. Submission is an idempotent request: one of a job that was
- * accepted before, by whichever node, is answered with its status, whatever today's machine types and limits say of it.
+ * Accepts jobs by a compare-and-swap that succeeds once per job ID. Submission is idempotent: if any node accepted the
+ * job before, the answer is its status, even if the job would not fit the current machine types and limits.
  */
 final class JobSubmission {
     private static final Logger LOG = LoggerFactory.getLogger(JobSubmission.class);
@@ -37,23 +37,28 @@
         this.statusQueries = statusQueries;
     }
 
-    /** Accepts a well-formed job, or answers why not, or what became of it. */
+    /**
+     * Accepts a well-formed job, or replies with the reason for its rejection or with the status of the earlier
+     * submission.
+     */
     void submit(JobSpec spec, Reply reply) {
         if (!validator.isReady()) {
             statusQueries.answer(spec.id(), reply, () -> JobReplies.machineTypesUnknown(reply));
-        } else if (validator.whyNeverRunnable(spec).isPresent()) {
-            statusQueries.answer(spec.id(), reply, () -> validateAnew(spec, reply));
+        } else if (validator.findRejectionReason(spec).isPresent()) {
+            statusQueries.answer(spec.id(), reply, () -> revalidateWithFreshQuota(spec, reply));
         } else {
             accept(spec, reply);
         }
     }
 
-    /** The limit may have been raised since this node last read it: a 422 is final, so it must not rest on an old one. */
-    private void validateAnew(JobSpec spec, Reply reply) {
+    /**
+     * Reads the quota again before a 422, which is final: the limit may have been raised since this node last read it.
+     */
+    private void revalidateWithFreshQuota(JobSpec spec, Reply reply) {
         quota.refresh(spec.team(), () -> {
-            Optional<String> whyNeverRunnable = validator.whyNeverRunnable(spec);
-            if (whyNeverRunnable.isPresent()) {
-                JobReplies.canNeverRun(reply, whyNeverRunnable.get());
+            Optional<String> rejectionReason = validator.findRejectionReason(spec);
+            if (rejectionReason.isPresent()) {
+                JobReplies.canNeverRun(reply, rejectionReason.get());
             } else {
                 accept(spec, reply);
             }
@@ -62,7 +67,7 @@
 
     private void accept(JobSpec spec, Reply reply) {
         if (statusQueries.hasSeen(spec.id())) {
-            // A repeat: a write whose conditions fail would cost as much as any other.
+            // Query first: for a repeated submission the write would fail and still count against the rate limit.
             statusQueries.answer(spec.id(), reply, () -> reserveAndWrite(spec, reply));
         } else {
             reserveAndWrite(spec, reply);
@@ -74,36 +79,36 @@
         write(new AcceptedJob(spec, grant, clock.wallMicros()), MAX_TRIES, reply);
     }
 
-    private void write(AcceptedJob job, int tries, Reply reply) {
-        store.commit(job.write(), commit -> {
+    private void write(AcceptedJob job, int triesLeft, Reply reply) {
+        store.commit(job.toTransaction(), commit -> {
             if (commit.outcome() == Outcome.OK) {
                 logAccepted(job.spec());
                 JobReplies.accepted(reply, job.id());
             } else if (commit.outcome() == Outcome.REFUSED) {
-                conflict(job, tries, commit, reply);
-            } else if (commit.outcome() == Outcome.UNKNOWN && tries > 1) {
-                // Another try settles what became of this one: it is refused if this one was applied.
-                write(job, tries - 1, reply);
+                handleConflict(job, triesLeft, commit, reply);
+            } else if (commit.outcome() == Outcome.UNKNOWN && triesLeft > 1) {
+                // The retry shows the result of this write: it is refused if this write was applied.
+                write(job, triesLeft - 1, reply);
             } else {
                 JobReplies.storeFailed(reply, commit.outcome());
             }
         });
     }
 
-    /** A condition did not hold: the reservation's budget was taken back, or the job was accepted before. */
-    private void conflict(AcceptedJob job, int tries, Commit commit, Reply reply) {
+    /** Handles a failed condition: the reservation's quota budget was taken back, or the job was accepted before. */
+    private void handleConflict(AcceptedJob job, int triesLeft, Commit commit, Reply reply) {
         if (job.hasReservation()) {
-            boolean earlierTryMayApply = tries < MAX_TRIES;
-            if (!earlierTryMayApply) {
+            boolean earlierTryMayBeApplied = triesLeft < MAX_TRIES;
+            if (!earlierTryMayBeApplied) {
                 quota.release(
                         job.spec().team(),
                         job.spec().quotaPerTask(),
                         job.grant().reservation());
             }
             if (job.isOnlyReservationOutdated(commit.failed())) {
-                // The job is accepted all the same, and waits for the leader's turn.
+                // The job is accepted without a reservation; the leader admits it in queue order.
                 quota.refresh(job.spec().team(), () -> {});
-                write(job.withoutReservation(), tries, reply);
+                write(job.withoutReservation(), triesLeft, reply);
                 return;
             }
         }
--- a/src/main/java/org/weldcourse/jobs/OpenJobsView.java
+++ b/src/main/java/org/weldcourse/jobs/OpenJobsView.java
@@ -10,16 +10,16 @@
 import org.weldcourse.store.Store.Outcome;
 
 /**
- * What the store holds of the open jobs, as this node last read it. Queries are answered from it only after a read of the
- * changes that was sent after they came: one read serves all that wait, and no answer can be older than what any node told
- * before. Without users there are no reads.
+ * This node's view of the open jobs in the store. A query is answered only after a read of the changes that was sent
+ * after the query arrived, so no answer is older than an answer that any node gave before. One read serves all pending
+ * queries; without queries there are no reads.
  */
 final class OpenJobsView {
-    /** The part of the store's requests that all nodes' reads together may take. */
+    /** The share of the store's request rate that the reads of all nodes together may use. */
     private static final double SHARE_OF_REQUESTS = 0.25;
 
-    private static final long ADMISSIONS_INTERVAL_MICROS = 1_000_000;
-    private static final int MAX_WAITING = 400;
+    private static final long ADMISSIONS_READ_INTERVAL_MICROS = 1_000_000;
+    private static final int MAX_PENDING_QUERIES = 400;
 
     private final Clock clock;
     private final Timers timers;
@@ -28,25 +28,25 @@
     private final Map<String, Map<String, Integer>> admittedTasksByRecordByJob = new HashMap<>();
     private final PrefixMirror openJobs;
     private final PrefixMirror admissions;
-    private List<Query> waiting = new ArrayList<>();
-    private boolean reading;
+    private List<Query> pendingQueries = new ArrayList<>();
+    private boolean readPending;
     private long nextReadMicros;
-    private long nextAdmissionsMicros;
+    private long nextAdmissionsReadMicros;
 
-    private record Query(String id, Answer answer) {}
+    private record Query(String id, QueryCallback callback) {}
 
-    /** Takes the answer to a query. */
-    interface Answer {
-        /** {@code found} is what the view now shows; null, unless the outcome is OK, when it could not be brought up to date. */
-        void accept(Outcome outcome, Found found);
+    /** Receives the result of a query. */
+    interface QueryCallback {
+        /** Receives the result, which is null unless the outcome is OK. */
+        void accept(Outcome outcome, QueryResult result);
     }
 
-    /** What is found of a job; {@code admittedTasks} counts what is on record as admitted, for display. */
-    record Found(boolean isOpen, boolean isCancelled, int admittedTasks) {
-        private static final Found NOT_OPEN = new Found(false, false, 0);
+    /** The state of a job in the view; {@code admittedTasks} is only for display. */
+    record QueryResult(boolean isOpen, boolean isCancelled, int admittedTasks) {
+        private static final QueryResult NOT_OPEN = new QueryResult(false, false, 0);
     }
 
-    /** A view of a store that serves so many requests a second to so many nodes. */
+    /** Creates a view of a store that serves {@code requestsPerSecond} to {@code nodes} nodes in total. */
     OpenJobsView(Store store, Clock clock, Timers timers, double requestsPerSecond, int nodes) {
         this.clock = clock;
         this.timers = timers;
@@ -56,56 +56,56 @@
                 store, StoreKeys.ADMISSIONS, admittedTasksByRecordByJob::clear, this::admissionChanged);
     }
 
-    /** Whether no more queries may wait; the bound keeps a node that can't read from gathering them. */
+    /** Whether no more queries may wait; the bound limits the backlog of a node that can't read the store. */
     boolean isFull() {
-        return waiting.size() >= MAX_WAITING;
+        return pendingQueries.size() >= MAX_PENDING_QUERIES;
     }
 
-    /** Whether the job was open when this was last read: a hint, not an answer. */
+    /** Whether the job was open at the last read; a hint, which may be out of date. */
     boolean hasSeen(String id) {
         return cancelledByJob.containsKey(id);
     }
 
-    /** Answers once the view is known to be no older than this call. */
-    void ask(String id, Answer answer) {
-        waiting.add(new Query(id, answer));
-        if (!reading) {
-            reading = true;
+    /** Answers after a read that is sent after this call. */
+    void query(String id, QueryCallback callback) {
+        pendingQueries.add(new Query(id, callback));
+        if (!readPending) {
+            readPending = true;
             timers.after(Math.max(0, nextReadMicros - clock.nowMicros()), this::read);
         }
     }
 
     private void read() {
-        List<Query> asked = waiting;
-        waiting = new ArrayList<>();
+        List<Query> batch = pendingQueries;
+        pendingQueries = new ArrayList<>();
         nextReadMicros = clock.nowMicros() + readIntervalMicros;
-        if (clock.nowMicros() >= nextAdmissionsMicros) {
-            // For display alone, so it may lag, and a failure to read it fails nobody.
-            nextAdmissionsMicros = clock.nowMicros() + ADMISSIONS_INTERVAL_MICROS;
+        if (clock.nowMicros() >= nextAdmissionsReadMicros) {
+            // Only for display: the counts may lag, and a failed read does not fail the queries.
+            nextAdmissionsReadMicros = clock.nowMicros() + ADMISSIONS_READ_INTERVAL_MICROS;
             admissions.update(outcome -> {});
         }
         openJobs.update(outcome -> {
-            for (Query query : asked) {
-                query.answer.accept(outcome, outcome == Outcome.OK ? find(query.id) : null);
+            for (Query query : batch) {
+                query.callback.accept(outcome, outcome == Outcome.OK ? lookUp(query.id) : null);
             }
-            if (waiting.isEmpty()) {
-                reading = false;
+            if (pendingQueries.isEmpty()) {
+                readPending = false;
             } else {
                 timers.after(Math.max(0, nextReadMicros - clock.nowMicros()), this::read);
             }
         });
     }
 
-    private Found find(String id) {
+    private QueryResult lookUp(String id) {
         Boolean cancelled = cancelledByJob.get(id);
         if (cancelled == null) {
-            return Found.NOT_OPEN;
+            return QueryResult.NOT_OPEN;
         }
         int admittedTasks = 0;
         for (int tasks : admittedTasksByRecordByJob.getOrDefault(id, Map.of()).values()) {
             admittedTasks += tasks;
         }
-        return new Found(true, cancelled, admittedTasks);
+        return new QueryResult(true, cancelled, admittedTasks);
     }
 
     private void jobChanged(String key, Map<String, Object> value) {
@@ -133,7 +133,7 @@
         try {
             return AdmissionRecordCodec.countTasks(admissionRecord);
         } catch (UnreadableRecordException unreadable) {
-            // The leader says so once; here it only counts for display.
+            // The leader logs this; the count here is only for display.
             return 0;
         }
     }
--- a/src/main/java/org/weldcourse/jobs/PrefixMirror.java
+++ b/src/main/java/org/weldcourse/jobs/PrefixMirror.java
@@ -5,44 +5,49 @@
 import org.weldcourse.store.Store;
 import org.weldcourse.store.Store.Outcome;
 
-/** Follows all keys under one prefix: reads them once as a list, from then on by their changes. */
+/** Mirrors all keys under one prefix: lists them once, then reads only their changes. */
 final class PrefixMirror {
     private static final long NEVER_READ = -1;
 
     private final Store store;
     private final String prefix;
     private final Runnable clear;
-    private final Change change;
+    private final ChangeListener listener;
     private long revision = NEVER_READ;
-    private boolean busy;
+    private boolean updating;
 
-    /** Takes each key that was put, or deleted; its value is null then. */
-    interface Change {
-        /** One key under the prefix has this value now. */
+    /** Receives changes of keys. */
+    interface ChangeListener {
+        /** A key under the prefix has this value now; null if it was deleted. */
         void accept(String key, Map<String, Object> value);
     }
 
-    /** {@code clear} is run before all keys are told once more, as {@code change} takes them. */
-    PrefixMirror(Store store, String prefix, Runnable clear, Change change) {
+    /**
+     * Creates a mirror; {@code clear} runs before a full listing, whose keys are then all passed to {@code listener}.
+     */
+    PrefixMirror(Store store, String prefix, Runnable clear, ChangeListener listener) {
         this.store = store;
         this.prefix = prefix;
         this.clear = clear;
-        this.change = change;
+        this.listener = listener;
     }
 
-    /** Reads what changed; OK once all changes up to this call were told, UNKNOWN while another update is under way. */
+    /**
+     * Reads the changes. The outcome is OK after all changes up to this call were passed on, UNKNOWN while another
+     * update runs.
+     */
     void update(Consumer<Outcome> then) {
-        if (busy) {
+        if (updating) {
             then.accept(Outcome.UNKNOWN);
             return;
         }
-        busy = true;
+        updating = true;
         Consumer<Outcome> done = outcome -> {
-            busy = false;
+            updating = false;
             then.accept(outcome);
         };
         if (revision == NEVER_READ) {
-            list(done);
+            listAll(done);
         } else {
             readChanges(done);
         }
@@ -51,23 +56,23 @@
     private void readChanges(Consumer<Outcome> done) {
         store.changes(prefix, revision, events -> {
             if (events.outcome() == Outcome.REFUSED) {
-                // The store no longer has all changes since then.
-                list(done);
+                // The changes since this revision were compacted away.
+                listAll(done);
                 return;
             }
             if (events.outcome() == Outcome.OK) {
-                events.events().forEach(event -> change.accept(event.key(), event.value()));
+                events.events().forEach(event -> listener.accept(event.key(), event.value()));
                 revision = Math.max(revision, events.revision());
             }
             done.accept(events.outcome());
         });
     }
 
-    private void list(Consumer<Outcome> done) {
+    private void listAll(Consumer<Outcome> done) {
         store.list(prefix, listing -> {
             if (listing.outcome() == Outcome.OK) {
                 clear.run();
-                listing.entries().forEach(entry -> change.accept(entry.key(), entry.value()));
+                listing.entries().forEach(entry -> listener.accept(entry.key(), entry.value()));
                 revision = listing.revision();
             }
             done.accept(listing.outcome());
--- a/src/main/java/org/weldcourse/jobs/SubmissionValidator.java
+++ b/src/main/java/org/weldcourse/jobs/SubmissionValidator.java
@@ -9,9 +9,9 @@
 import org.weldcourse.runtime.Clock;
 import org.weldcourse.settings.Settings;
 
-/** Whether a job that is well formed could ever run, by the settings, the machine types and its team's limit. */
+/** Checks whether a well-formed job could ever run, given the settings, the machine types and its team's limit. */
 final class SubmissionValidator {
-    /** What the two numbers of a reservation add to a record in which they are zero. */
+    /** The maximum number of digits that the two numbers of a reservation add to a record in which they are zero. */
     private static final int RESERVATION_DIGITS = 30;
 
     private final Settings settings;
@@ -27,18 +27,18 @@
         this.clock = clock;
     }
 
-    /** Whether anything can be said: not before the machine types are known. */
+    /** Whether jobs can be checked yet, which requires the machine types. */
     boolean isReady() {
         return !machineTypes.get().isEmpty();
     }
 
-    /** Why the job can never run, or none. */
-    Optional<String> whyNeverRunnable(JobSpec spec) {
+    /** Returns why the job can never run, or empty if it may run. */
+    Optional<String> findRejectionReason(JobSpec spec) {
         Settings.Team team = settings.team(spec.team());
         if (team == null) {
             return Optional.of("unknown team");
         }
-        // What has to run all at once has to fit the limit as a whole; an array's tasks follow one another.
+        // Tasks that must run at the same time must fit the limit together; those of a job array may run in sequence.
         if (!spec.quotaPerTask().times(spec.concurrentTasks()).fitsInto(quota.limit(team))) {
             return Optional.of("more than the team's limit");
         }
@@ -51,10 +51,10 @@
                 : Optional.of("its record of " + bytes + " bytes is larger than can be kept");
     }
 
-    /** The size of the job's record with any reservation, measured on one of no tasks, which spends no budget. */
+    /** The maximum size of the job's record, measured with a reservation of 0 tasks, which uses no budget. */
     private int maxRecordBytes(JobSpec spec) {
-        Grant ofNoTasks = quota.reserve(spec.team(), spec.quotaPerTask(), 0);
-        int bytes = new AcceptedJob(spec, ofNoTasks, clock.wallMicros()).recordBytes();
-        return ofNoTasks == null ? bytes : bytes + RESERVATION_DIGITS;
+        Grant emptyGrant = quota.reserve(spec.team(), spec.quotaPerTask(), 0);
+        int bytes = new AcceptedJob(spec, emptyGrant, clock.wallMicros()).recordBytes();
+        return emptyGrant == null ? bytes : bytes + RESERVATION_DIGITS;
     }
 }
--- a/src/main/java/org/weldcourse/jobs/UnreadableRecordException.java
+++ b/src/main/java/org/weldcourse/jobs/UnreadableRecordException.java
@@ -1,6 +1,6 @@
 package org.weldcourse.jobs;
 
-/** Thrown for a stored record that is not in the form in which this version writes it; the message says what is wrong. */
+/** Thrown for a stored record that this version can't decode; the message gives the reason. */
 public final class UnreadableRecordException extends RuntimeException {
     UnreadableRecordException(String message) {
         super(message);
--- a/src/test/java/org/weldcourse/jobs/JobCodecsTest.java
+++ b/src/test/java/org/weldcourse/jobs/JobCodecsTest.java
@@ -11,15 +11,15 @@
 import org.weldcourse.http.Json;
 import org.weldcourse.simulation.JobBodies;
 
-/** Jobs, their records and final states, to and from JSON. */
+/** Tests of {@link JobSpecCodec}, {@link JobRecordCodec} and {@link FinalStateCodec}. */
 class JobCodecsTest {
-    private static Map<String, Object> wire(Map<String, Object> body) {
+    private static Map<String, Object> throughJson(Map<String, Object> body) {
         return Json.objectOrEmpty(Json.bytes(body));
     }
 
     @Test
-    void recordReadsBackAsTheSameJob() throws Exception {
-        JobSpec spec = JobSpecCodec.decode(wire(JobBodies.jobBody(
+    void recordDecodesToTheSameJob() throws Exception {
+        JobSpec spec = JobSpecCodec.decode(throughJson(JobBodies.jobBody(
                 "req-000001",
                 "due_s",
                 12.5,
@@ -31,7 +31,7 @@
                 "ensemble",
                 "rank",
                 "prod")));
-        Map<String, Object> record = wire(JobRecordCodec.encode(spec, 77, false));
+        Map<String, Object> record = throughJson(JobRecordCodec.encode(spec, 77, false));
         assertEquals(spec, JobRecordCodec.spec(record));
         assertEquals(77, JobRecordCodec.acceptedWallMicros(record));
         assertFalse(JobRecordCodec.isCancelled(record));
@@ -39,8 +39,8 @@
     }
 
     @Test
-    void badJobsNameTheField() {
-        Object[][] bad = {
+    void invalidJobsAreRejectedWithTheFieldName() {
+        Object[][] invalidFields = {
             {"name_id", "job-1"},
             {"name_id", 5},
             {"shape", "ring"},
@@ -58,22 +58,22 @@
             {"due_s", -5.0},
             {"yard", 3}
         };
-        for (Object[] change : bad) {
+        for (Object[] change : invalidFields) {
             InvalidJobException invalid = assertThrows(
                     InvalidJobException.class,
-                    () -> JobSpecCodec.decode(wire(JobBodies.jobBody("req-000001", change))));
+                    () -> JobSpecCodec.decode(throughJson(JobBodies.jobBody("req-000001", change))));
             assertTrue(invalid.getMessage().contains((String) change[0]), invalid.getMessage());
             assertEquals("missing or invalid field: " + change[0], invalid.answer());
         }
     }
 
     @Test
-    void finalStatesReadBack() {
+    void finalStatesRoundTrip() {
         assertEquals(
                 new JobStatus("req-000001", "done", 7, 0),
-                FinalStateCodec.decode("req-000001", wire(FinalStateCodec.encode(false, 7))));
+                FinalStateCodec.decode("req-000001", throughJson(FinalStateCodec.encode(false, 7))));
         assertEquals(
                 new JobStatus("req-000001", "cancelled", 2, 0),
-                FinalStateCodec.decode("req-000001", wire(FinalStateCodec.encode(true, 2))));
+                FinalStateCodec.decode("req-000001", throughJson(FinalStateCodec.encode(true, 2))));
     }
 }
