--- a/src/main/java/org/weldcourse/peers/PeerConnections.java
+++ b/src/main/java/org/weldcourse/peers/PeerConnections.java
@@ -24,24 +24,24 @@
 import org.weldcourse.settings.Settings;
 
 /**
- * The controllers' heartbeat channel: each node holds one TCP connection to each other and sends its {@link PeerStatus}
- * on it every 0.4 s; what it hears comes in on the connections that the others hold to it. All routines run on the one
- * event loop given.
+ * The TCP connections for heartbeats between controllers. Each node opens one connection to every peer and sends its
+ * {@link PeerStatus} on it every 0.4 s. It receives the heartbeats of its peers on the connections that they open. All
+ * code runs on the given event loop.
  */
 public final class PeerConnections {
-    private static final long HEARTBEAT_MICROS = 400_000;
-    private static final long SILENCE_MICROS = 25 * HEARTBEAT_MICROS;
+    private static final long HEARTBEAT_INTERVAL_MICROS = 400_000;
+    private static final long IDLE_TIMEOUT_MICROS = 25 * HEARTBEAT_INTERVAL_MICROS;
     private static final int CONNECT_TIMEOUT_MILLIS = 1_000;
-    /** Refusals in a row, after a connection that had been made, that speak for an ended process. */
-    private static final int REFUSALS_TO_BELIEVE = 2;
+    /** Consecutive refusals, after an established connection, from which the peer's process counts as ended. */
+    private static final int REFUSALS_UNTIL_ENDED = 2;
 
-    private static final long RETRY_MICROS = 150_000;
+    private static final long RECONNECT_DELAY_MICROS = 150_000;
 
     private final EventLoop loop;
     private final Clock clock;
     private final Peers peers;
 
-    /** The connections between this node and its peers. */
+    /** Creates the heartbeat connections of a node; they start with {@link #listen} and {@link #sendHeartbeatsTo}. */
     public PeerConnections(EventLoop loop, Clock clock, Peers peers) {
         this.loop = loop;
         this.clock = clock;
@@ -49,12 +49,12 @@
     }
 
     /**
-     * Begins to accept connections of peers at this address ({@code host:port}).
+     * Starts accepting connections of peers at this address ({@code host:port}).
      *
      * @throws InterruptedException when interrupted while the socket is bound
      */
     public void listen(String address) throws InterruptedException {
-        HostPort at = HostPort.of(address);
+        HostPort endpoint = HostPort.of(address);
         new ServerBootstrap()
                 .group(loop)
                 .channel(NioServerSocketChannel.class)
@@ -64,40 +64,41 @@
                     @Override
                     protected void initChannel(Channel channel) {
                         channel.pipeline()
-                                .addLast(new IdleStateHandler(SILENCE_MICROS, 0, 0, TimeUnit.MICROSECONDS))
+                                .addLast(new IdleStateHandler(IDLE_TIMEOUT_MICROS, 0, 0, TimeUnit.MICROSECONDS))
                                 .addLast(new HeartbeatReceiver());
                     }
                 })
-                .bind(at.host(), at.port())
+                .bind(endpoint.host(), endpoint.port())
                 .sync();
     }
 
-    /** Keeps a connection to a peer, opened anew whenever it ends, and sends this node's heartbeats on it. */
+    /** Keeps a connection to a peer, reconnecting whenever it closes, and sends this node's heartbeats on it. */
     public void sendHeartbeatsTo(Settings.Peer peer) {
         loop.execute(new HeartbeatSender(peer)::connect);
     }
 
-    /** Reads the heartbeats on a connection that a peer holds to this node. */
+    /** Reads the heartbeats on a connection that a peer opened. */
     private final class HeartbeatReceiver extends SimpleChannelInboundHandler<ByteBuf> {
-        private final ByteBuffer gathered = ByteBuffer.allocate(2 * PeerStatus.MAX_FRAME_BYTES);
+        private final ByteBuffer receiveBuffer = ByteBuffer.allocate(2 * PeerStatus.MAX_FRAME_BYTES);
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf bytes)
                 throws PeerStatus.MalformedFrameException {
             while (bytes.isReadable()) {
-                gathered.limit(Math.min(gathered.capacity(), gathered.position() + bytes.readableBytes()));
-                bytes.readBytes(gathered);
-                gathered.flip();
-                for (PeerStatus status = PeerStatus.decode(gathered);
+                receiveBuffer.limit(
+                        Math.min(receiveBuffer.capacity(), receiveBuffer.position() + bytes.readableBytes()));
+                bytes.readBytes(receiveBuffer);
+                receiveBuffer.flip();
+                for (PeerStatus status = PeerStatus.decode(receiveBuffer);
                         status != null;
-                        status = PeerStatus.decode(gathered)) {
+                        status = PeerStatus.decode(receiveBuffer)) {
                     peers.heartbeatReceived(status);
                 }
-                gathered.compact();
+                receiveBuffer.compact();
             }
         }
 
-        /** A peer that lives speaks at a steady beat; one that ended or is cut off leaves its connection behind. */
+        /** Closes an idle connection: its peer has stopped sending heartbeats because it ended or is disconnected. */
         @Override
         public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
             if (event instanceof IdleStateEvent) {
@@ -122,7 +123,7 @@
         }
 
         void connect() {
-            HostPort to = HostPort.of(peer.address());
+            HostPort endpoint = HostPort.of(peer.address());
             ChannelFuture connecting = new Bootstrap()
                     .group(loop)
                     .channel(NioSocketChannel.class)
@@ -131,10 +132,10 @@
                     .handler(new ChannelInitializer<Channel>() {
                         @Override
                         protected void initChannel(Channel channel) {
-                            channel.pipeline().addLast(new ClosesOnInbound());
+                            channel.pipeline().addLast(new CloseOnInboundHandler());
                         }
                     })
-                    .connect(to.host(), to.port());
+                    .connect(endpoint.host(), endpoint.port());
             connecting.addListener(future -> {
                 if (future.isSuccess()) {
                     connected(connecting.channel());
@@ -147,21 +148,23 @@
         private void connected(Channel channel) {
             wasConnected = true;
             refusals = 0;
-            long sinceMicros = clock.nowMicros();
-            // One that ends as soon as it stands would else be opened anew without a pause.
+            long connectedMicros = clock.nowMicros();
+            // Without the delay, a connection that is closed right after it opens would be reopened in a tight loop.
             channel.closeFuture()
-                    .addListener(closed ->
-                            reconnectIn(clock.nowMicros() - sinceMicros < HEARTBEAT_MICROS ? RETRY_MICROS : 0));
+                    .addListener(closed -> reconnectIn(
+                            clock.nowMicros() - connectedMicros < HEARTBEAT_INTERVAL_MICROS
+                                    ? RECONNECT_DELAY_MICROS
+                                    : 0));
             sendHeartbeats(channel);
         }
 
         private void connectionFailed(Throwable cause) {
             boolean refused = cause instanceof ConnectException && !(cause instanceof ConnectTimeoutException);
-            if (refused && wasConnected && ++refusals == REFUSALS_TO_BELIEVE) {
+            if (refused && wasConnected && ++refusals == REFUSALS_UNTIL_ENDED) {
                 wasConnected = false;
                 peers.connectionsRefused(peer.name());
             }
-            reconnectIn(RETRY_MICROS * (wasConnected ? 1 : 4));
+            reconnectIn(RECONNECT_DELAY_MICROS * (wasConnected ? 1 : 4));
         }
 
         private void reconnectIn(long delayMicros) {
@@ -170,18 +173,19 @@
 
         private void sendHeartbeats(Channel channel) {
             if (channel.isActive()) {
-                // One that does not read is told nothing more until it does: its status would only be old.
+                // Skips the heartbeat if the peer does not read: queued heartbeats would be outdated when it reads
+                // them.
                 if (channel.isWritable()) {
                     channel.writeAndFlush(
                             Unpooled.wrappedBuffer(peers.ownStatus().encode()));
                 }
-                loop.schedule(() -> sendHeartbeats(channel), HEARTBEAT_MICROS, TimeUnit.MICROSECONDS);
+                loop.schedule(() -> sendHeartbeats(channel), HEARTBEAT_INTERVAL_MICROS, TimeUnit.MICROSECONDS);
             }
         }
     }
 
-    /** Nothing is expected on a connection that this node sends heartbeats on. */
-    private static final class ClosesOnInbound extends SimpleChannelInboundHandler<ByteBuf> {
+    /** Closes an outbound connection on any inbound data, which the protocol does not allow. */
+    private static final class CloseOnInboundHandler extends SimpleChannelInboundHandler<ByteBuf> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf bytes) {
             ctx.close();
--- a/src/main/java/org/weldcourse/peers/PeerStatus.java
+++ b/src/main/java/org/weldcourse/peers/PeerStatus.java
@@ -4,46 +4,52 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * The heartbeat that controllers send one another: the sender's name, the highest fencing token it was the leader under
- * (or 0), whether it is the leader now, whether the store served it of late, and whether it serves users while it is
- * not the leader. A frame is its length (two bytes, big-endian, not counting themselves), a version byte, a byte of
- * flags, the fencing token (eight bytes) and the name in UTF-8.
+ * A heartbeat between controllers. On the wire, a frame consists of its length (two bytes, big-endian, not counting
+ * these two), a version byte, a byte of flags, the fencing token (eight bytes) and the name in UTF-8.
+ *
+ * @param name the name of the sending node
+ * @param fencingToken the highest fencing token under which the sender was the leader, or 0
+ * @param isLeader whether the sender is the leader now
+ * @param reachesStore whether the store answered the sender recently
+ * @param servesUsers whether the sender serves users as a standby
  */
 public record PeerStatus(String name, long fencingToken, boolean isLeader, boolean reachesStore, boolean servesUsers) {
-    /** The longest frame that is accepted, in bytes, not counting the two of its length. */
+    /** The maximum length of an accepted frame in bytes, not counting the two length bytes. */
     public static final int MAX_FRAME_BYTES = 300;
 
     private static final byte VERSION = 1;
-    private static final int HEAD_BYTES = 1 + 1 + Long.BYTES;
-    private static final int LEADS = 1;
-    private static final int REACHES_STORE = 2;
-    private static final int SERVES_USERS = 4;
+    private static final int HEADER_BYTES = 1 + 1 + Long.BYTES;
+    private static final int LEADER_FLAG = 1;
+    private static final int REACHES_STORE_FLAG = 2;
+    private static final int SERVES_USERS_FLAG = 4;
 
     /** Encodes the status as one frame. */
     public ByteBuffer encode() {
-        byte[] text = name.getBytes(StandardCharsets.UTF_8);
-        ByteBuffer frame = ByteBuffer.allocate(Short.BYTES + HEAD_BYTES + text.length);
-        frame.putShort((short) (HEAD_BYTES + text.length));
+        byte[] nameBytes = name.getBytes(StandardCharsets.UTF_8);
+        ByteBuffer frame = ByteBuffer.allocate(Short.BYTES + HEADER_BYTES + nameBytes.length);
+        frame.putShort((short) (HEADER_BYTES + nameBytes.length));
         frame.put(VERSION);
-        frame.put((byte)
-                ((isLeader ? LEADS : 0) | (reachesStore ? REACHES_STORE : 0) | (servesUsers ? SERVES_USERS : 0)));
+        frame.put((byte) ((isLeader ? LEADER_FLAG : 0)
+                | (reachesStore ? REACHES_STORE_FLAG : 0)
+                | (servesUsers ? SERVES_USERS_FLAG : 0)));
         frame.putLong(fencingToken);
-        frame.put(text);
+        frame.put(nameBytes);
         return frame.flip();
     }
 
     /**
-     * Takes one frame off the buffer; null, and the buffer untouched, when it does not hold a whole one yet.
+     * Decodes and consumes one frame. If the buffer does not hold a complete frame yet, returns null and leaves it
+     * unchanged.
      *
-     * @throws MalformedFrameException when the frame's length or version is not of this protocol
+     * @throws MalformedFrameException if the frame's length or version is invalid in this protocol
      */
     public static PeerStatus decode(ByteBuffer buffer) throws MalformedFrameException {
         if (buffer.remaining() < Short.BYTES) {
             return null;
         }
         int length = buffer.getShort(buffer.position()) & 0xffff;
-        if (length < HEAD_BYTES || length > MAX_FRAME_BYTES) {
-            throw new MalformedFrameException("a frame of " + length + " bytes");
+        if (length < HEADER_BYTES || length > MAX_FRAME_BYTES) {
+            throw new MalformedFrameException("invalid frame length of " + length + " bytes");
         }
         if (buffer.remaining() < Short.BYTES + length) {
             return null;
@@ -51,21 +57,21 @@
         buffer.getShort();
         byte version = buffer.get();
         if (version != VERSION) {
-            throw new MalformedFrameException("version " + version);
+            throw new MalformedFrameException("unsupported protocol version " + version);
         }
         byte flags = buffer.get();
         long fencingToken = buffer.getLong();
-        byte[] text = new byte[length - HEAD_BYTES];
-        buffer.get(text);
+        byte[] nameBytes = new byte[length - HEADER_BYTES];
+        buffer.get(nameBytes);
         return new PeerStatus(
-                new String(text, StandardCharsets.UTF_8),
+                new String(nameBytes, StandardCharsets.UTF_8),
                 fencingToken,
-                (flags & LEADS) != 0,
-                (flags & REACHES_STORE) != 0,
-                (flags & SERVES_USERS) != 0);
+                (flags & LEADER_FLAG) != 0,
+                (flags & REACHES_STORE_FLAG) != 0,
+                (flags & SERVES_USERS_FLAG) != 0);
     }
 
-    /** Thrown for bytes that are no frame of this protocol; the connection that they came on is closed. */
+    /** Thrown for bytes that are not a valid frame; the connection that they arrived on is closed. */
     public static final class MalformedFrameException extends Exception {
         MalformedFrameException(String message) {
             super(message);
--- a/src/main/java/org/weldcourse/peers/Peers.java
+++ b/src/main/java/org/weldcourse/peers/Peers.java
@@ -5,105 +5,114 @@
 import org.weldcourse.runtime.Clock;
 
 /**
- * What this node knows of the other controllers by their own heartbeats, and what it says of itself. Not thread-safe:
- * all calls come on the node's event loop. Times are microseconds of the given clock.
+ * Tracks the other controllers by their heartbeats and supplies this node's own heartbeat. Not thread-safe: all calls
+ * must come from the node's event loop. Times are microseconds of the given clock.
  */
 public final class Peers {
-    /** A heartbeat older than this counts for nothing. */
-    private static final long FRESH_MICROS = 2_000_000;
-    /** A node that comes back is not sent users at once; by then it is, unless it went away several times of late. */
-    private static final long FOUND_MICROS = 15_000_000;
+    /** Older heartbeats are ignored. */
+    private static final long MAX_HEARTBEAT_AGE_MICROS = 2_000_000;
+    /**
+     * The delay until the load balancer sends users to a node that serves again. It may be longer for a node that
+     * failed several times recently.
+     */
+    private static final long LOAD_BALANCER_DELAY_MICROS = 15_000_000;
 
     private final Clock clock;
     private final LocalNode node;
-    private final Map<String, Heard> heartbeatReceived = new HashMap<>();
+    private final Map<String, ReceivedHeartbeat> latestByPeer = new HashMap<>();
 
-    /** {@code servesSinceMicros}: since when it has said without a pause that it serves users, or -1. */
-    private record Heard(PeerStatus status, long atMicros, long servesSinceMicros) {
-        boolean isFreshAt(long nowMicros) {
-            return nowMicros - atMicros < FRESH_MICROS;
+    /**
+     * {@code servesSinceMicros} is the time from which the peer has continuously reported that it serves users, or -1.
+     */
+    private record ReceivedHeartbeat(PeerStatus status, long receivedMicros, long servesSinceMicros) {
+        boolean isRecentAt(long nowMicros) {
+            return nowMicros - receivedMicros < MAX_HEARTBEAT_AGE_MICROS;
         }
 
         boolean servesUsersAt(long nowMicros) {
-            return servesSinceMicros >= 0 && isFreshAt(nowMicros);
+            return servesSinceMicros >= 0 && isRecentAt(nowMicros);
         }
     }
 
-    /** The node that speaks and listens. */
+    /** The node that this instance belongs to. */
     public interface LocalNode {
-        /** This node's own status. */
+        /** The status of this node, to be sent to its peers. */
         PeerStatus status();
 
-        /** A peer says that it is the leader under this fencing token. */
+        /** Called when a peer reports that it is the leader under this fencing token. */
         void peerIsLeader(String name, long fencingToken);
 
-        /** A peer that was there closed its connection and refuses new ones: its process ended, most likely. */
+        /** Called when a known peer closed its connection and refuses new ones: its process has most likely ended. */
         void peerProcessEnded(String name);
     }
 
-    /** A view of peers of which nothing is known yet. */
+    /** Creates an instance that has received no heartbeats yet. */
     public Peers(Clock clock, LocalNode node) {
         this.clock = clock;
         this.node = node;
     }
 
-    /** What this node tells the others. */
+    /** The status that this node sends to its peers. */
     public PeerStatus ownStatus() {
         return node.status();
     }
 
-    /** Takes in a peer's heartbeat. */
+    /** Processes a heartbeat of a peer. */
     public void heartbeatReceived(PeerStatus status) {
         long nowMicros = clock.nowMicros();
-        Heard before = heartbeatReceived.get(status.name());
-        boolean goesOn = before != null && before.servesUsersAt(nowMicros);
-        heartbeatReceived.put(
+        ReceivedHeartbeat previous = latestByPeer.get(status.name());
+        boolean stillServes = previous != null && previous.servesUsersAt(nowMicros);
+        latestByPeer.put(
                 status.name(),
-                new Heard(
-                        status, nowMicros, !status.servesUsers() ? -1 : goesOn ? before.servesSinceMicros : nowMicros));
+                new ReceivedHeartbeat(
+                        status,
+                        nowMicros,
+                        !status.servesUsers() ? -1 : stillServes ? previous.servesSinceMicros : nowMicros));
         if (status.isLeader()) {
             node.peerIsLeader(status.name(), status.fencingToken());
         }
     }
 
     /**
-     * A peer refuses connections. When all others fell silent with it, a filter between the nodes is the likelier cause:
-     * a leader that lives would be deposed for nothing, and its lease tells soon enough.
+     * Handles repeated refusals of connections by a peer. If the heartbeats of all other known peers stopped as well, a
+     * firewall between the nodes is the more likely cause than the end of the process. Reporting the end would then
+     * depose a running leader without need; a leader that did end is detected soon by the expiry of its lease.
      */
     public void connectionsRefused(String name) {
-        heartbeatReceived.remove(name);
-        if (heartbeatReceived.isEmpty() || storeAccess() != StoreAccess.UNKNOWN) {
+        latestByPeer.remove(name);
+        if (latestByPeer.isEmpty() || storeAccess() != StoreAccess.UNKNOWN) {
             node.peerProcessEnded(name);
         }
     }
 
-    /** Whether one of the others has served users for so long that they should find it. */
+    /** Whether a peer has served users for long enough that the load balancer should send requests to it. */
     public boolean anyPeerServesUsers() {
         long nowMicros = clock.nowMicros();
-        for (Heard one : heartbeatReceived.values()) {
-            if (one.servesUsersAt(nowMicros) && nowMicros - one.servesSinceMicros >= FOUND_MICROS) {
+        for (ReceivedHeartbeat heartbeat : latestByPeer.values()) {
+            if (heartbeat.servesUsersAt(nowMicros)
+                    && nowMicros - heartbeat.servesSinceMicros >= LOAD_BALANCER_DELAY_MICROS) {
                 return true;
             }
         }
         return false;
     }
 
-    /** What the others' fresh heartbeats say of the store. */
+    /** Whether the store serves other nodes, as far as this node knows. */
     public enum StoreAccess {
-        /** It serves one of them. */
+        /** The store serves at least one peer. */
         AVAILABLE,
-        /** It serves none of those that are heard. */
+        /** The store serves none of the peers that sent a recent heartbeat. */
         UNAVAILABLE,
-        /** No peer is heard. */
+        /** No peer sent a recent heartbeat. */
         UNKNOWN
     }
 
-    /** What the peers' fresh heartbeats say of the store. */
+    /** Whether the store serves any peer, according to their recent heartbeats. */
     public StoreAccess storeAccess() {
         StoreAccess access = StoreAccess.UNKNOWN;
-        for (Heard one : heartbeatReceived.values()) {
-            if (one.isFreshAt(clock.nowMicros())) {
-                if (one.status.reachesStore()) {
+        for (ReceivedHeartbeat heartbeat : latestByPeer.values()) {
+            if (heartbeat.isRecentAt(clock.nowMicros())) {
+                if (heartbeat.status.reachesStore()) {
                     return StoreAccess.AVAILABLE;
                 }
                 access = StoreAccess.UNAVAILABLE;
--- a/src/main/java/org/weldcourse/peers/package-info.java
+++ b/src/main/java/org/weldcourse/peers/package-info.java
@@ -1,2 +1,4 @@
-/** Heartbeats between the controllers: who is the leader under which fencing token, and who reaches the store. */
+/**
+ * Heartbeats between controllers: which one is the leader, under which fencing token, and which ones reach the store.
+ */
 package org.weldcourse.peers;
--- a/src/test/java/org/weldcourse/peers/PeersTest.java
+++ b/src/test/java/org/weldcourse/peers/PeersTest.java
@@ -14,10 +14,10 @@
 import org.weldcourse.simulation.JobBodies;
 import org.weldcourse.simulation.SimulatedCluster;
 
-/** Tests of {@link Peers}. */
+/** Tests of {@link Peers} and {@link PeerStatus}. */
 class PeersTest {
     @Test
-    void framesReadBackWholeOrNotAtAll() throws Exception {
+    void framesDecodeOnlyWhenComplete() throws Exception {
         PeerStatus status = new PeerStatus("node-1", 42, true, false, true);
         ByteBuffer frame = status.encode();
         byte[] bytes = new byte[frame.remaining()];
@@ -34,99 +34,99 @@
     }
 
     @Test
-    void followersNeedNotWaitForTheLeaseOfAnEndedLeader() {
-        SimulatedCluster world = new SimulatedCluster(3);
-        world.clock.passSeconds(2);
-        String old = world.leader();
-        world.killNode(old);
+    void standbysTakeOverFromAnEndedLeaderBeforeItsLeaseExpires() {
+        SimulatedCluster cluster = new SimulatedCluster(3);
+        cluster.clock.passSeconds(2);
+        String old = cluster.leader();
+        cluster.killNode(old);
         for (String node : new String[] {"n0", "n1", "n2"}) {
             if (!node.equals(old)) {
-                world.controller(node).peers().connectionsRefused(old);
+                cluster.controller(node).peers().connectionsRefused(old);
             }
         }
-        world.clock.passSeconds(0.5);
-        assertNotNull(world.leader());
+        cluster.clock.passSeconds(0.5);
+        assertNotNull(cluster.leader());
     }
 
     @Test
-    void refusalsByAllPeersAtOnceDeposeNobody() {
-        SimulatedCluster world = new SimulatedCluster(3);
-        world.clock.passSeconds(2);
-        String leader = world.leader();
+    void refusedConnectionsWithoutAnyHeartbeatsDoNotDeposeTheLeader() {
+        SimulatedCluster cluster = new SimulatedCluster(3);
+        cluster.clock.passSeconds(2);
+        String leader = cluster.leader();
         String other = leader.equals("n0") ? "n1" : "n0";
-        world.cutFromPeers(other);
-        world.clock.passSeconds(3);
-        world.controller(other).peers().connectionsRefused(leader);
-        world.clock.passSeconds(2);
-        assertEquals(leader, world.leader());
+        cluster.cutFromPeers(other);
+        cluster.clock.passSeconds(3);
+        cluster.controller(other).peers().connectionsRefused(leader);
+        cluster.clock.passSeconds(2);
+        assertEquals(leader, cluster.leader());
     }
 
     @Test
-    void leaderThatIsAliveLosesItsPlaceAndNothingElse() {
-        SimulatedCluster world = new SimulatedCluster(3);
-        world.clock.passSeconds(2);
-        world.runMicros.put("req-000001", 30_000_000L);
-        world.submit("n0", JobBodies.jobBody("req-000001"));
-        assertTrue(world.reaches("n0", "req-000001", "running", 60));
-        String old = world.leader();
+    void falselyDeposedLeaderLosesNoTasks() {
+        SimulatedCluster cluster = new SimulatedCluster(3);
+        cluster.clock.passSeconds(2);
+        cluster.runMicros.put("req-000001", 30_000_000L);
+        cluster.submit("n0", JobBodies.jobBody("req-000001"));
+        assertTrue(cluster.reaches("n0", "req-000001", "running", 60));
+        String old = cluster.leader();
         String other = old.equals("n0") ? "n1" : "n0";
-        world.controller(other).peers().connectionsRefused(old);
-        assertTrue(world.reaches("n2", "req-000001", "done", 90));
-        assertTrue(world.starts.values().stream().allMatch(count -> count == 1), world.starts.toString());
+        cluster.controller(other).peers().connectionsRefused(old);
+        assertTrue(cluster.reaches("n2", "req-000001", "done", 90));
+        assertTrue(cluster.starts.values().stream().allMatch(count -> count == 1), cluster.starts.toString());
     }
 
     @Test
-    void deposedLeaderYieldsOnAPeersWordAlone() {
-        SimulatedCluster world = new SimulatedCluster(3);
-        world.clock.passSeconds(2);
-        String old = world.leader();
-        world.cutFromStore(old);
-        world.controller(old).peers().heartbeatReceived(new PeerStatus("nx", 99, true, true, false));
-        assertFalse(world.controller(old).leads());
+    void leaderStepsDownOnAPeersNewerTokenWithoutTheStore() {
+        SimulatedCluster cluster = new SimulatedCluster(3);
+        cluster.clock.passSeconds(2);
+        String old = cluster.leader();
+        cluster.cutFromStore(old);
+        cluster.controller(old).peers().heartbeatReceived(new PeerStatus("nx", 99, true, true, false));
+        assertFalse(cluster.controller(old).leads());
     }
 
     @Test
-    void leaderLeavesUsersToTheOthersAsLongAsThoseServe() {
-        SimulatedCluster world = new SimulatedCluster(3);
-        world.clock.passSeconds(2);
-        String leader = world.leader();
+    void leaderIsNotReadyWhileAStandbyServesUsers() {
+        SimulatedCluster cluster = new SimulatedCluster(3);
+        cluster.clock.passSeconds(2);
+        String leader = cluster.leader();
         List<String> others =
                 Stream.of("n0", "n1", "n2").filter(name -> !name.equals(leader)).toList();
-        assertEquals(200, ready(world, leader), "the others may not be found yet");
-        world.clock.passSeconds(20);
-        assertEquals(503, ready(world, leader));
-        assertEquals(200, ready(world, others.get(0)));
-        world.killNode(others.get(0));
-        world.clock.passSeconds(5);
-        assertEquals(503, ready(world, leader), "one is left");
-        world.cutFromStore(others.get(1));
-        world.clock.passSeconds(5);
-        assertEquals(200, ready(world, leader), "none is left that serves");
-        world.healToStore(others.get(1));
-        world.clock.passSeconds(5);
-        assertEquals(200, ready(world, leader), "it may not be found yet");
-        world.clock.passSeconds(20);
-        assertEquals(503, ready(world, leader));
+        assertEquals(200, readyStatus(cluster, leader), "the load balancer may not send users to the others yet");
+        cluster.clock.passSeconds(20);
+        assertEquals(503, readyStatus(cluster, leader));
+        assertEquals(200, readyStatus(cluster, others.get(0)));
+        cluster.killNode(others.get(0));
+        cluster.clock.passSeconds(5);
+        assertEquals(503, readyStatus(cluster, leader), "one standby still serves");
+        cluster.cutFromStore(others.get(1));
+        cluster.clock.passSeconds(5);
+        assertEquals(200, readyStatus(cluster, leader), "no standby serves");
+        cluster.healToStore(others.get(1));
+        cluster.clock.passSeconds(5);
+        assertEquals(200, readyStatus(cluster, leader), "the load balancer may not send users to it yet");
+        cluster.clock.passSeconds(20);
+        assertEquals(503, readyStatus(cluster, leader));
     }
 
-    private static int ready(SimulatedCluster world, String node) {
-        return world.ask(node, "GET", "/ready", new byte[0]).status();
+    private static int readyStatus(SimulatedCluster cluster, String node) {
+        return cluster.ask(node, "GET", "/ready", new byte[0]).status();
     }
 
     @Test
-    void nodeThatAloneIsRefusedSendsUsersElsewhere() {
-        SimulatedCluster world = new SimulatedCluster(3);
-        world.clock.passSeconds(2);
-        world.store.down(true);
-        world.clock.passSeconds(8);
-        assertEquals(200, world.ask("n0", "GET", "/ready", new byte[0]).status(), "an outage for all");
-        world.store.down(false);
-        world.clock.passSeconds(3);
-        world.cutFromStore("n0");
-        world.clock.passSeconds(8);
-        assertEquals(503, world.ask("n0", "GET", "/ready", new byte[0]).status());
-        world.healToStore("n0");
-        world.clock.passSeconds(3);
-        assertEquals(200, world.ask("n0", "GET", "/ready", new byte[0]).status());
+    void nodeThatAloneLosesTheStoreIsNotReady() {
+        SimulatedCluster cluster = new SimulatedCluster(3);
+        cluster.clock.passSeconds(2);
+        cluster.store.down(true);
+        cluster.clock.passSeconds(8);
+        assertEquals(200, cluster.ask("n0", "GET", "/ready", new byte[0]).status(), "the store is down for all nodes");
+        cluster.store.down(false);
+        cluster.clock.passSeconds(3);
+        cluster.cutFromStore("n0");
+        cluster.clock.passSeconds(8);
+        assertEquals(503, cluster.ask("n0", "GET", "/ready", new byte[0]).status());
+        cluster.healToStore("n0");
+        cluster.clock.passSeconds(3);
+        assertEquals(200, cluster.ask("n0", "GET", "/ready", new byte[0]).status());
     }
 }
