--- a/src/main/java/org/weldcourse/jobs/JobCancellation.java
+++ b/src/main/java/org/weldcourse/jobs/JobCancellation.java
@@ -52,7 +52,7 @@
         JobRecordCodec.setCancelled(record);
         if (Json.bytes(record).length > maxRecordBytes) {
             // The job was accepted under larger limits. Removing the fields for scheduling makes room for the flag.
-            JobRecordCodec.clearFieldsUnneededAfterCancellation(record);
+            JobRecordCodec.clearSchedulingFields(record);
         }
         Transaction txn = new Transaction()
                 .ifModRevision(StoreKeys.openJob(id), openJob.modRevision())
--- a/src/main/java/org/weldcourse/jobs/JobRecordCodec.java
+++ b/src/main/java/org/weldcourse/jobs/JobRecordCodec.java
@@ -27,7 +27,7 @@
      *
      * @throws InvalidJobException for the first field that is missing or invalid
      */
-    public static JobSpec spec(Map<String, Object> record) throws InvalidJobException {
+    public static JobSpec decodeSpec(Map<String, Object> record) throws InvalidJobException {
         return JobSpecCodec.decode(record);
     }
 
@@ -54,7 +54,7 @@
      * Clears the fields that are needed only to start tasks. The team and the size of tasks stay, because quota usage
      * needs them.
      */
-    public static void clearFieldsUnneededAfterCancellation(Map<String, Object> record) {
+    public static void clearSchedulingFields(Map<String, Object> record) {
         record.put("rigs", null);
         record.put("course", CLEARED_TEXT);
         record.put("blank", CLEARED_TEXT);
--- a/src/main/java/org/weldcourse/leader/HeartbeatHandler.java
+++ b/src/main/java/org/weldcourse/leader/HeartbeatHandler.java
@@ -7,7 +7,7 @@
 import org.weldcourse.workers.CommandCodec;
 import org.weldcourse.workers.CommandSelector;
 import org.weldcourse.workers.Heartbeat;
-import org.weldcourse.workers.Reconciler;
+import org.weldcourse.workers.HeartbeatReconciler;
 import org.weldcourse.workers.WorkerLeaseRenewalBound;
 
 /**
@@ -20,7 +20,7 @@
     private final ClusterState cluster;
     private final Autoscaler autoscaler;
     private final CommandSelector commands;
-    private final Reconciler reconciler;
+    private final HeartbeatReconciler reconciler;
     private final RecoveryProgress recovery;
     private final WorkerLeaseRenewalBound leaseRenewalBound;
     private final Runnable onChange;
@@ -32,7 +32,7 @@
             ClusterState cluster,
             Autoscaler autoscaler,
             CommandSelector commands,
-            Reconciler reconciler,
+            HeartbeatReconciler reconciler,
             RecoveryProgress recovery,
             WorkerLeaseRenewalBound leaseRenewalBound,
             Runnable onChange) {
@@ -69,7 +69,8 @@
             machine.type =
                     dependencies.machineTypes().byName(heartbeat.machineType()).orElse(null);
         }
-        Reconciler.Result result = reconciler.reconcile(machine, heartbeat, mayStartTasks(nowMicros), nowMicros);
+        HeartbeatReconciler.Result result =
+                reconciler.reconcile(machine, heartbeat, mayStartTasks(nowMicros), nowMicros);
         reply.send(200, CommandCodec.encodeHeartbeatResponse(fencingToken, result.commands()));
         if (result.changed()) {
             onChange.run();
@@ -83,7 +84,7 @@
     private boolean mayStartTasks(long nowMicros) {
         return dependencies.election().isLeaseValid()
                 && dependencies.store().failingSinceMicros() < 0
-                && leaseRenewalBound.isFreshAt(nowMicros);
+                && leaseRenewalBound.isReadFresh(nowMicros);
     }
 
     /**
@@ -92,7 +93,7 @@
      * not read of leaves time for.
      */
     private boolean mayRenewWorkerLeases(long nowMicros) {
-        return leaseRenewalBound.mayRenewAt(nowMicros)
+        return leaseRenewalBound.mayRenewLeases(nowMicros)
                 && (nowMicros < dependencies.election().leaseExpiryMicros()
                         || dependencies.storeOutage().affectsAllControllers());
     }
--- a/src/main/java/org/weldcourse/leader/LeaderTerm.java
+++ b/src/main/java/org/weldcourse/leader/LeaderTerm.java
@@ -16,7 +16,7 @@
 import org.weldcourse.store.Transaction;
 import org.weldcourse.workers.CommandSelector;
 import org.weldcourse.workers.Heartbeat;
-import org.weldcourse.workers.Reconciler;
+import org.weldcourse.workers.HeartbeatReconciler;
 import org.weldcourse.workers.StartAuthorization;
 import org.weldcourse.workers.WorkerLeaseRenewalBound;
 
@@ -66,7 +66,7 @@
         this.autoscaler = newAutoscaler();
         StartAuthorization startAuthorization = new StartAuthorization(cluster, quotas, dependencies.startCounts());
         CommandSelector commands = new CommandSelector(cluster, startAuthorization);
-        Reconciler reconciler = new Reconciler(
+        HeartbeatReconciler reconciler = new HeartbeatReconciler(
                 cluster,
                 commands,
                 fencingToken,
--- a/src/main/java/org/weldcourse/leader/SyntheticCluster.java
+++ b/src/main/java/org/weldcourse/leader/SyntheticCluster.java
@@ -40,8 +40,8 @@
 import org.weldcourse.workers.CommandSelector;
 import org.weldcourse.workers.Heartbeat;
 import org.weldcourse.workers.HeartbeatCodec;
+import org.weldcourse.workers.HeartbeatReconciler;
 import org.weldcourse.workers.MalformedHeartbeatException;
-import org.weldcourse.workers.Reconciler;
 import org.weldcourse.workers.StartAuthorization;
 import org.weldcourse.workers.StartCounts;
 
@@ -68,7 +68,7 @@
     private final SnapshotBuilder snapshots;
     private final CapacityDemandEstimator demandEstimator;
     private final CommandSelector commands;
-    private final Reconciler reconciler;
+    private final HeartbeatReconciler reconciler;
     private final RecordWriter recordWriter;
     private long nowMicros;
     private int sequence;
@@ -86,7 +86,7 @@
         this.demandEstimator = new CapacityDemandEstimator(state, settings);
         StartAuthorization startAuthorization = new StartAuthorization(state, quotas, new StartCounts());
         this.commands = new CommandSelector(state, startAuthorization);
-        this.reconciler = new Reconciler(
+        this.reconciler = new HeartbeatReconciler(
                 state, commands, FENCING_TOKEN, settings.workers().leaseMicros(), startAuthorization);
         this.recordWriter =
                 new RecordWriter(store, clock, timers, settings.storeLimits(), 1, new IgnoredWriterEvents());
@@ -128,8 +128,8 @@
                 100_000_000);
         try {
             // By way of its record, as a leader reads it.
-            JobSpec spec =
-                    JobRecordCodec.spec(Json.object(Json.parse(Json.bytes(JobRecordCodec.encode(made, 0, false)))));
+            JobSpec spec = JobRecordCodec.decodeSpec(
+                    Json.object(Json.parse(Json.bytes(JobRecordCodec.encode(made, 0, false)))));
             state.jobs.put(spec.id(), new Job(spec, 1, nowMicros));
         } catch (Json.MalformedJsonException | InvalidJobException impossible) {
             throw new IllegalStateException(impossible);
@@ -156,7 +156,7 @@
         } catch (MalformedHeartbeatException impossible) {
             throw new IllegalStateException(impossible);
         }
-        Reconciler.Result result =
+        HeartbeatReconciler.Result result =
                 reconciler.reconcile(state.getOrAddMachine(heartbeat.machine(), nowMicros), heartbeat, true, nowMicros);
         reply.send(200, CommandCodec.encodeHeartbeatResponse(FENCING_TOKEN, result.commands()));
     }
--- a/src/main/java/org/weldcourse/persistence/OpenJobsWatch.java
+++ b/src/main/java/org/weldcourse/persistence/OpenJobsWatch.java
@@ -192,7 +192,7 @@
         }
         if (job == null) {
             try {
-                JobSpec spec = JobRecordCodec.spec(value);
+                JobSpec spec = JobRecordCodec.decodeSpec(value);
                 long ageMicros = Math.max(0, clock.wallMicros() - JobRecordCodec.acceptedWallMicros(value));
                 job = new Job(spec, version, clock.nowMicros() - ageMicros);
             } catch (InvalidJobException invalid) {
--- a/src/main/java/org/weldcourse/persistence/OutstandingRecord.java
+++ b/src/main/java/org/weldcourse/persistence/OutstandingRecord.java
@@ -27,7 +27,7 @@
         AdmittedTasks admitted = new AdmittedTasks();
         job.bookings().forEach(booking -> admitted.add(booking.machine().name, booking.attempt(), booking.task()));
         Map<String, Object> record = JobRecordCodec.encode(job.spec(), 0, job.isCancelled());
-        JobRecordCodec.clearFieldsUnneededAfterCancellation(record);
+        JobRecordCodec.clearSchedulingFields(record);
         record.putAll(AdmissionRecordCodec.encode(admitted, job.lastAttempt(), 0, null));
         return Json.bytes(record).length <= mostBytes ? record : null;
     }
@@ -35,7 +35,7 @@
     /** Books again what the record says may be on machines; all of it is to stop. */
     public static Job restore(ClusterState cluster, Map<String, Object> record, long nowMicros)
             throws InvalidJobException {
-        JobSpec spec = JobRecordCodec.spec(record);
+        JobSpec spec = JobRecordCodec.decodeSpec(record);
         Job job = new Job(spec, NEVER_OPEN, nowMicros);
         job.markClosed();
         job.markOutstandingPersisted();
--- a/src/main/java/org/weldcourse/workers/Reconciler.java
+++ b/src/main/java/org/weldcourse/workers/HeartbeatReconciler.java
@@ -11,8 +11,8 @@
  * it is newer than the last one and carries this leader's fencing token. Until the worker has seen that token, commands
  * of an older leader could still reach it and make its heartbeat outdated.
  */
-public final class Reconciler {
-    private static final Logger LOG = LoggerFactory.getLogger(Reconciler.class);
+public final class HeartbeatReconciler {
+    private static final Logger LOG = LoggerFactory.getLogger(HeartbeatReconciler.class);
 
     private final ClusterState cluster;
     private final long fencingToken;
@@ -21,7 +21,7 @@
     private final CommandSelector commandSelector;
 
     /** Creates a reconciler for the leader with this fencing token; worker leases last {@code leaseMicros}. */
-    public Reconciler(
+    public HeartbeatReconciler(
             ClusterState cluster,
             CommandSelector commandSelector,
             long fencingToken,
--- a/src/main/java/org/weldcourse/workers/WorkerLeaseRenewalBound.java
+++ b/src/main/java/org/weldcourse/workers/WorkerLeaseRenewalBound.java
@@ -45,14 +45,14 @@
     }
 
     /** Whether the last read is recent enough to start tasks: few cancellations can be unknown. */
-    public boolean isFreshAt(long nowMicros) {
+    public boolean isReadFresh(long nowMicros) {
         return lastReadSentMicros != NEVER_READ && nowMicros - lastReadSentMicros < MAX_READ_AGE_TO_START_MICROS;
     }
 
     /**
      * Whether leases may be renewed; not before the first read, as the previous leader may have used up the whole time.
      */
-    public boolean mayRenewAt(long nowMicros) {
+    public boolean mayRenewLeases(long nowMicros) {
         return lastReadSentMicros != NEVER_READ && nowMicros - lastReadSentMicros < maxReadAgeToRenewMicros;
     }
 }
--- a/src/test/java/org/weldcourse/jobs/JobCodecsTest.java
+++ b/src/test/java/org/weldcourse/jobs/JobCodecsTest.java
@@ -32,7 +32,7 @@
                 "rank",
                 "prod")));
         Map<String, Object> record = throughJson(JobRecordCodec.encode(spec, 77, false));
-        assertEquals(spec, JobRecordCodec.spec(record));
+        assertEquals(spec, JobRecordCodec.decodeSpec(record));
         assertEquals(77, JobRecordCodec.acceptedWallMicros(record));
         assertFalse(JobRecordCodec.isCancelled(record));
         assertEquals(12_500_000, spec.deadlineMicros());
--- a/src/test/java/org/weldcourse/workers/ReconcilerTest.java
+++ b/src/test/java/org/weldcourse/workers/HeartbeatReconcilerTest.java
@@ -14,8 +14,8 @@
 import org.weldcourse.http.Json;
 import org.weldcourse.jobs.JobSpecCodec;
 
-/** Tests of {@link Reconciler}. */
-class ReconcilerTest {
+/** Tests of {@link HeartbeatReconciler}. */
+class HeartbeatReconcilerTest {
     private static final StartAuthorization.TeamQuotas UNLIMITED = new StartAuthorization.TeamQuotas() {
         @Override
         public boolean isOverbooked(String team) {
@@ -35,7 +35,7 @@
 
     private final ClusterState cluster = new ClusterState();
     private final StartAuthorization startAuthorization = new StartAuthorization(cluster, UNLIMITED, new StartCounts());
-    private final Reconciler reconciler = new Reconciler(
+    private final HeartbeatReconciler reconciler = new HeartbeatReconciler(
             cluster, new CommandSelector(cluster, startAuthorization), 7, 10_000_000, startAuthorization);
 
     private static Heartbeat heartbeat(long sequence, long fencingToken, TaskId task) {
--- a/src/test/java/org/weldcourse/workers/WorkerLeaseRenewalBoundTest.java
+++ b/src/test/java/org/weldcourse/workers/WorkerLeaseRenewalBoundTest.java
@@ -14,8 +14,8 @@
 
     @Test
     void noRenewalBeforeTheFirstCompleteRead() {
-        assertFalse(bound.mayRenewAt(0));
-        assertFalse(bound.mayRenewAt(Long.MAX_VALUE));
+        assertFalse(bound.mayRenewLeases(0));
+        assertFalse(bound.mayRenewLeases(Long.MAX_VALUE));
     }
 
     @Test
@@ -23,8 +23,8 @@
         long readMicros = 5_000_000;
         bound.recordOpenJobsRead(readMicros);
         long lastRenewalMicros = readMicros + 35_000_000 - 10_000_000 - WorkerLeaseRenewalBound.MARGIN_MICROS - 1;
-        assertTrue(bound.mayRenewAt(lastRenewalMicros));
-        assertFalse(bound.mayRenewAt(lastRenewalMicros + 1));
+        assertTrue(bound.mayRenewLeases(lastRenewalMicros));
+        assertFalse(bound.mayRenewLeases(lastRenewalMicros + 1));
         // A cancellation confirmed at the time of the read takes effect in time even if both clocks drift by 0.05%.
         double leaseExpiryMicros = lastRenewalMicros + 10_000_000 * 1.0005;
         assertTrue(leaseExpiryMicros * 1.0005 < readMicros + 35_000_000);
@@ -34,7 +34,7 @@
     void olderReadThatCompletesLaterDoesNotLowerTheBound() {
         bound.recordOpenJobsRead(9_000_000);
         bound.recordOpenJobsRead(2_000_000);
-        assertTrue(bound.mayRenewAt(9_000_000 + 21_999_999));
-        assertFalse(bound.mayRenewAt(9_000_000 + 22_000_000));
+        assertTrue(bound.mayRenewLeases(9_000_000 + 21_999_999));
+        assertFalse(bound.mayRenewLeases(9_000_000 + 22_000_000));
     }
 }
