--- a/src/main/java/org/weldcourse/jobs/AdmissionRecordCodec.java
+++ b/src/main/java/org/weldcourse/jobs/AdmissionRecordCodec.java
@@ -6,8 +6,8 @@
 
 /**
  * Encodes and decodes the records of admitted tasks under {@code slices/}. A record holds, for each machine, the ranges
- * of its tasks by attempt ({@code "3:0-7,9;4:12"}), the highest attempt number that was assigned, the number
- * of this write and, unless the job is too large, a bit set of the finished tasks.
+ * of its tasks by attempt ({@code "3:0-7,9;4:12"}). It also holds the highest attempt number that was assigned, the
+ * number of this write and, unless the job is too large, a bit set of the finished tasks.
  */
 public final class AdmissionRecordCodec {
     private AdmissionRecordCodec() {}
--- a/src/main/java/org/weldcourse/jobs/JobCancellation.java
+++ b/src/main/java/org/weldcourse/jobs/JobCancellation.java
@@ -63,8 +63,7 @@
                 LOG.info("{}: cancelled by its user, revision {}", id, commit.revision());
                 JobReplies.status(reply, JobStatus.cancelled(id));
             } else if (triesLeft > 1 && (outcome == Outcome.REFUSED || outcome == Outcome.UNKNOWN)) {
-                // The record has changed, or this write may have been applied without a response: read the record
-                // again.
+                // The record has changed, or the outcome of this write is unknown: read the record again.
                 readAndCancel(id, triesLeft - 1, reply);
             } else {
                 JobReplies.storeFailed(reply, outcome);
--- a/src/main/java/org/weldcourse/peers/PeerConnections.java
+++ b/src/main/java/org/weldcourse/peers/PeerConnections.java
@@ -173,8 +173,7 @@
 
         private void sendHeartbeats(Channel channel) {
             if (channel.isActive()) {
-                // Skips the heartbeat if the peer does not read: queued heartbeats would be outdated when it reads
-                // them.
+                // Skips heartbeats while the peer does not read: queued ones would be outdated.
                 if (channel.isWritable()) {
                     channel.writeAndFlush(
                             Unpooled.wrappedBuffer(peers.ownStatus().encode()));
--- a/src/main/java/org/weldcourse/workers/ResponseLossDetector.java
+++ b/src/main/java/org/weldcourse/workers/ResponseLossDetector.java
@@ -25,7 +25,7 @@
     }
 
     /**
-     * Checks whether the start commands of the last response reached the worker: it lists a task that it has received.
+     * Checks whether the start commands of the last response reached the worker, by whether it lists their tasks.
      *
      * @param startArrived whether at least one of the tasks to start is listed
      */
--- a/src/main/java/org/weldcourse/workers/StartAuthorization.java
+++ b/src/main/java/org/weldcourse/workers/StartAuthorization.java
@@ -141,7 +141,7 @@
 
     private String describeUsage(String team) {
         QuotaUsage usage = cluster.quotaUsage;
-        return "team " + team + " uses " + usage.bookedBy(team) + " in bookings and " + usage.unbookedBy(team)
-                + " outside of bookings, limit " + quotas.describeLimit(team);
+        return "team " + team + " uses " + usage.bookedBy(team) + " booked and " + usage.unbookedBy(team)
+                + " unbooked, limit " + quotas.describeLimit(team);
     }
 }
--- a/src/main/java/org/weldcourse/workers/StartCounts.java
+++ b/src/main/java/org/weldcourse/workers/StartCounts.java
@@ -29,7 +29,7 @@
     }
 
     /**
-     * The number of refusals because the team's bookings alone exceed its limit: each shows a fault of the scheduler.
+     * The number of refusals because the team's bookings alone exceed its limit: each one is a bug in the scheduler.
      */
     public long violations() {
         return violations;
--- a/src/test/java/org/weldcourse/peers/PeersTest.java
+++ b/src/test/java/org/weldcourse/peers/PeersTest.java
@@ -17,7 +17,7 @@
 /** Tests of {@link Peers} and {@link PeerStatus}. */
 class PeersTest {
     @Test
-    void framesDecodeOnlyWhenComplete() throws Exception {
+    void framesDecodeOnlyWhenCompleteAndValid() throws Exception {
         PeerStatus status = new PeerStatus("node-1", 42, true, false, true);
         ByteBuffer frame = status.encode();
         byte[] bytes = new byte[frame.remaining()];
