--- a/src/test/java/org/weldcourse/app/AutoscalerTest.java
+++ b/src/test/java/org/weldcourse/app/AutoscalerTest.java
@@ -21,10 +21,10 @@
         world.clock.passSeconds(14);
         int running = world.runningTasks();
         assertTrue(running >= 20, "running: " + running);
-        int made = world.cloud.made();
+        int made = world.cloud.machinesCreated();
         world.killNode(world.leader());
         world.clock.passSeconds(9);
         assertTrue(world.runningTasks() >= running / 2);
-        assertTrue(world.cloud.made() <= made + 2, "rented anew: " + (world.cloud.made() - made));
+        assertTrue(world.cloud.machinesCreated() <= made + 2, "rented anew: " + (world.cloud.machinesCreated() - made));
     }
 }
--- a/src/test/java/org/weldcourse/app/EarlierRecords.java
+++ b/src/test/java/org/weldcourse/app/EarlierRecords.java
@@ -27,7 +27,7 @@
     static void storeRecords(SimulatedCluster world, Map<String, Object> records) {
         records.forEach((key, value) -> {
             if (key.contains("/") || key.equals("types")) {
-                world.store.plant(key, value);
+                world.store.putRecord(key, value);
             }
         });
     }
@@ -37,7 +37,7 @@
         Map<String, Object> open = Json.objectOrEmpty(Json.bytes(body));
         open.put("accepted", world.clock.wallMicros());
         open.put("cancelled", false);
-        world.store.plant("open/" + Json.text(body, "name_id"), open);
+        world.store.putRecord("open/" + Json.text(body, "name_id"), open);
     }
 
     static SimulatedCluster upgradingCluster(int valueBytes, int txnOps, Settings.UpcomingStoreLimits next) {
--- a/src/test/java/org/weldcourse/app/FailureScenario.java
+++ b/src/test/java/org/weldcourse/app/FailureScenario.java
@@ -97,7 +97,7 @@
 
     String cancel(String id) {
         for (int i = 0; i < 120; i++) {
-            SimulatedCluster.Answer answer = cluster.cancel(aliveNode(i), id);
+            SimulatedCluster.ApiResponse answer = cluster.cancel(aliveNode(i), id);
             if (answer.status() == 200) {
                 cancelled.add(id);
                 return answer.state();
--- a/src/test/java/org/weldcourse/app/IsolatedLeaderTest.java
+++ b/src/test/java/org/weldcourse/app/IsolatedLeaderTest.java
@@ -140,8 +140,8 @@
         world.clock.passSeconds(30);
         assertEquals(4, scenario.presentTasks(stays).size());
         assertEquals(1, world.starts.get(stays + "/0"));
-        world.healToStore(old);
-        world.healToPeers(old);
+        world.healStoreLink(old);
+        world.healPeerLinks(old);
         scenario.assertAllJobsEnd(90);
     }
 
--- a/src/test/java/org/weldcourse/app/JobLifecycleTest.java
+++ b/src/test/java/org/weldcourse/app/JobLifecycleTest.java
@@ -22,7 +22,7 @@
         assertTrue(world.reaches("n1", "req-000001", "done", 60));
         assertEquals(4, world.starts.size());
         assertTrue(world.starts.values().stream().allMatch(count -> count == 1));
-        SimulatedCluster.Answer again = world.submit("n2", jobBody("req-000001"));
+        SimulatedCluster.ApiResponse again = world.submit("n2", jobBody("req-000001"));
         assertEquals(200, again.status());
         assertEquals("done", again.state());
         assertEquals(List.of(), world.store.keys("open/"));
@@ -41,8 +41,10 @@
                 world.submit("n0", jobBody("req-000008", "crew", "capped", "shape", "ensemble", "beads", 5))
                         .status());
         assertEquals(400, world.submit("n0", jobBody("req-000009", "beads", 0)).status());
-        assertEquals(400, world.ask("n0", "POST", "/v1/jobs", "[1]".getBytes()).status());
-        assertEquals(400, world.ask("n0", "POST", "/v1/jobs", "{".getBytes()).status());
+        assertEquals(
+                400, world.request("n0", "POST", "/v1/jobs", "[1]".getBytes()).status());
+        assertEquals(
+                400, world.request("n0", "POST", "/v1/jobs", "{".getBytes()).status());
         assertEquals(404, world.poll("n0", "req-000006").status());
         assertEquals(404, world.poll("n0", "no-such-form").status());
         assertEquals(404, world.cancel("n0", "req-000006").status());
@@ -53,7 +55,7 @@
         SimulatedCluster world = settled(1);
         world.store.down(true);
         long beforeMicros = world.clock.nowMicros();
-        SimulatedCluster.Answer answer = world.submit("n0", jobBody("req-000010"));
+        SimulatedCluster.ApiResponse answer = world.submit("n0", jobBody("req-000010"));
         assertEquals(503, answer.status());
         assertTrue(answer.retryAfterSeconds() > 0);
         assertTrue(world.clock.nowMicros() - beforeMicros < 100_000);
@@ -62,11 +64,11 @@
     @Test
     void lostCommitAnswerIsReadBackNotGuessed() {
         SimulatedCluster world = settled(1);
-        world.loseAnswers("n0", true);
+        world.loseResponses("n0", true);
         Map<String, Object> job = jobBody("req-000011");
-        SimulatedCluster.Answer lost = world.submit("n0", job);
+        SimulatedCluster.ApiResponse lost = world.submit("n0", job);
         assertNotEquals(404, lost.status());
-        world.loseAnswers("n0", false);
+        world.loseResponses("n0", false);
         world.clock.passSeconds(10);
         // Carried out although nobody heard so: a repeat finds it and it runs once.
         assertEquals(200, world.submit("n0", job).status());
@@ -159,7 +161,7 @@
         assertEquals("queued", world.poll("n1", "req-000046").state());
         world.submit("n0", jobBody("req-000047"));
         world.cancel("n0", "req-000046");
-        world.store.forgetChanges();
+        world.store.compactHistory();
         assertEquals("cancelled", world.poll("n1", "req-000046").state());
         assertEquals("queued", world.poll("n1", "req-000047").state());
         assertEquals(404, world.poll("n1", "req-000048").status());
@@ -188,13 +190,13 @@
         }
         world.clock.passSeconds(5);
         world.store.down(false);
-        world.store.forgetChanges();
+        world.store.compactHistory();
         for (String node : List.of("n0", "n1", "n2")) {
-            world.healToStore(node);
+            world.healStoreLink(node);
         }
         world.clock.passSeconds(5);
         for (int i = 0; i < 12; i++) {
-            SimulatedCluster.Answer answer = world.poll("n" + (i + 1) % 3, String.format("req-%06d", 700 + i));
+            SimulatedCluster.ApiResponse answer = world.poll("n" + (i + 1) % 3, String.format("req-%06d", 700 + i));
             assertEquals(200, answer.status());
             assertEquals(i == 5, "cancelled".equals(answer.state()));
         }
--- a/src/test/java/org/weldcourse/app/LateWritesTest.java
+++ b/src/test/java/org/weldcourse/app/LateWritesTest.java
@@ -28,17 +28,17 @@
                 return FakeNetwork.NORMAL;
             }
             lost[0]++;
-            return atOnce ? FakeNetwork.ANSWER_LOST : 2_000_000 + random.nextInt(10_000_000);
+            return atOnce ? FakeNetwork.RESPONSE_LOST : 2_000_000 + random.nextInt(10_000_000);
         });
         scenario.submitMixedWork();
         for (int i = 0; i < 12; i++) {
             String id = scenario.submit(1 + random.nextInt(8), "beads", 1 + random.nextInt(4));
             // Others read what was written while its writer waits.
-            world.alive().forEach(node -> world.pollSoon(node, id));
+            world.alive().forEach(node -> world.pollAsync(node, id));
             world.clock.pass(random.nextInt(2_000_000));
             if (i % 3 == 0) {
                 scenario.cancel(id);
-                world.alive().forEach(node -> world.pollSoon(node, id));
+                world.alive().forEach(node -> world.pollAsync(node, id));
             }
             if (i == 7) {
                 String ended = scenario.killLeader();
@@ -116,14 +116,14 @@
                 continue;
             }
             world.clock.pass(closedMicros[0] + offsetMicros - world.clock.nowMicros());
-            world.alive().forEach(node -> world.pollSoon(node, id));
-            SimulatedCluster.Answer answer = world.cancel("n1", id);
+            world.alive().forEach(node -> world.pollAsync(node, id));
+            SimulatedCluster.ApiResponse answer = world.cancel("n1", id);
             assertEquals(200, answer.status(), "at once, " + offsetMicros + " from the end: " + answer);
             states.add(answer.state());
             if ("cancelled".equals(answer.state())) {
                 scenario.cancelled.add(id);
             }
-            world.alive().forEach(node -> world.pollSoon(node, id));
+            world.alive().forEach(node -> world.pollAsync(node, id));
             assertEquals(
                     answer.state(), world.submit("n1", scenario.bodies.get(id)).state());
             scenario.assertAllJobsEnd(30);
@@ -135,7 +135,7 @@
         int asked = 0;
         for (int step = 0; step < 10; step++) {
             for (String node : world.alive()) {
-                world.pollSoon(node, id);
+                world.pollAsync(node, id);
                 asked++;
             }
             world.clock.pass(1_000 + 700L * step);
@@ -165,7 +165,7 @@
                             200, world.submit(node, scenario.bodies.get(id)).status()));
         }
         world.clock.passSeconds(3);
-        assertEquals(asked, world.answers());
+        assertEquals(asked, world.pollResponses());
         scenario.assertAllJobsEnd(30);
     }
 
@@ -187,7 +187,7 @@
                 world.refuseStore(refused, true);
             } else if (i % 60 == 34) {
                 // Meanwhile the changes that the state service keeps have gone by.
-                world.store.forgetChanges();
+                world.store.compactHistory();
                 world.refuseStore(refused, false);
             }
         }
--- a/src/test/java/org/weldcourse/app/LeaderFailoverTest.java
+++ b/src/test/java/org/weldcourse/app/LeaderFailoverTest.java
@@ -83,7 +83,7 @@
             world.clock.passSeconds(1);
             world.checkCancelled();
         }
-        world.healToStore(old);
+        world.healStoreLink(old);
         world.clock.passSeconds(10);
         assertEquals(0, world.runningTasks());
     }
@@ -140,7 +140,7 @@
         SimulatedCluster world = settled(3);
         String leader = world.leader();
         for (String node : List.of("n0", "n1", "n2")) {
-            SimulatedCluster.Answer answer = world.ask(
+            SimulatedCluster.ApiResponse answer = world.request(
                     node,
                     "POST",
                     "/checkin",
@@ -187,7 +187,7 @@
         assertEquals(4, world.runningTasks());
         world.workers.values().forEach(worker -> assertEquals(2, worker.fencingToken()));
         assertTrue(world.starts.values().stream().allMatch(count -> count == 1), world.starts.toString());
-        assertEquals(503, world.ask(old, "GET", "/ready", new byte[0]).status());
+        assertEquals(503, world.request(old, "GET", "/ready", new byte[0]).status());
     }
 
     @ParameterizedTest
@@ -218,13 +218,13 @@
         // In the middle of an admission, its write, its first start.
         world.submit(other, jobBody("req-000055"));
         world.clock.pass(millis * 1_000);
-        world.freezeNode(old);
+        world.pauseNode(old);
         world.clock.passSeconds(8);
         assertEquals("cancelled", world.cancel(other, "req-000054").state());
         world.clock.passSeconds(17);
         int machines = world.cloud.machines().size();
         int released = world.cloud.released.size();
-        world.thawNode(old);
+        world.resumeNode(old);
         world.clock.pass(300_000);
         assertFalse(world.controller(old).isLeader(), "after " + millis);
         assertEquals(machines, world.cloud.machines().size());
--- a/src/test/java/org/weldcourse/app/LoweredStoreLimitsTest.java
+++ b/src/test/java/org/weldcourse/app/LoweredStoreLimitsTest.java
@@ -125,7 +125,7 @@
     void recordsWrittenUnderLargerLimitsAreDividedWhenTheyAreWrittenNext() {
         SimulatedCluster world = upgradingCluster(4096, 8, new Settings.UpcomingStoreLimits(50, 1024, 4));
         Map<String, Object> body = jobBody("req-000001", "beads", 800, "cpus", 0.1, "mem_gb", 0.1);
-        world.adopt(body, new BitSet());
+        world.addExistingJob(body, new BitSet());
         storeOpenJob(world, body);
         for (int i = 0; i < 2; i++) {
             world.cloud.addUnrequested("large", "a", false);
@@ -137,7 +137,7 @@
             even.append(',').append(task);
             odd.append(',').append(400 + task);
         }
-        world.store.plant(
+        world.store.putRecord(
                 "slices/req-000001/0",
                 Json.of(
                         "last",
--- a/src/test/java/org/weldcourse/app/MachineFailureTest.java
+++ b/src/test/java/org/weldcourse/app/MachineFailureTest.java
@@ -133,7 +133,7 @@
         world.killNode("n1");
         world.startNode("n1");
         world.clock.passSeconds(2);
-        assertEquals(200, world.ask("n1", "GET", "/ready", new byte[0]).status());
+        assertEquals(200, world.request("n1", "GET", "/ready", new byte[0]).status());
         assertEquals(
                 422, world.submit("n1", jobBody("req-000036", "cpus", 99.0)).status());
     }
@@ -143,7 +143,7 @@
         SimulatedCluster world = settled(1);
         String deaf = world.cloud.addUnrequested("large", "a", true);
         world.clock.passSeconds(7);
-        world.deafen(deaf);
+        world.cutResponsesAndCommands(deaf);
         world.submit("n0", jobBody("req-000041", "beads", 6));
         assertTrue(world.reaches("n0", "req-000041", "done", 60));
         assertTrue(world.starts.values().stream().allMatch(count -> count == 1), world.starts.toString());
@@ -154,10 +154,10 @@
     @Test
     void nonsenseFromTheCloudStopsNothing() {
         SimulatedCluster world = settled(1);
-        world.cloud.nonsense(true);
+        world.cloud.sendMalformedResponses(true);
         world.submit("n0", jobBody("req-000052"));
         world.clock.passSeconds(20);
-        world.cloud.nonsense(false);
+        world.cloud.sendMalformedResponses(false);
         assertTrue(world.reaches("n0", "req-000052", "done", 90));
     }
 
--- a/src/test/java/org/weldcourse/app/OutstandingTasksTest.java
+++ b/src/test/java/org/weldcourse/app/OutstandingTasksTest.java
@@ -135,19 +135,19 @@
         submit(SECOND, 20, "rank", "urgent", "yard", "b");
         world.clock.passSeconds(2);
         assertEquals(2, world.runningTasks(), "the limit is reached");
-        world.store.plant("slices/" + FIRST + "/0", Map.of("last", 1, "n", 9, "machines", Map.of()));
+        world.store.putRecord("slices/" + FIRST + "/0", Map.of("last", 1, "n", 9, "machines", Map.of()));
         long token = hangs.fencingToken();
         List<String> withFirst = List.of(
                 hangs.machine().name(), world.workerOf(FIRST + "/0").machine().name());
         List<String> others = world.workers.keySet().stream()
                 .filter(machine -> !withFirst.contains(machine))
                 .toList();
-        withFirst.forEach(world::mute);
+        withFirst.forEach(world::cutHeartbeats);
         killLeaderAndAwaitNext();
         for (int i = 0; i < 400 && world.store.keys("slices/" + SECOND).isEmpty(); i++) {
             world.clock.pass(10_000);
         }
-        others.forEach(world::mute);
+        others.forEach(world::cutHeartbeats);
         withFirst.forEach(world::heal);
         for (int i = 0; i < 10_000 && !saysToken(hangs, token + 1); i++) {
             world.clock.pass(500);
@@ -178,7 +178,7 @@
         hangs = world.workerOf(FIRST + "/1");
         hangs.freeze(true);
         world.cloud.down(true);
-        world.store.garble("slices/" + FIRST + "/0", Map.of("machines", Map.of("m-000000", "nonsense")));
+        world.store.corrupt("slices/" + FIRST + "/0", Map.of("machines", Map.of("m-000000", "nonsense")));
         killLeaderAndAwaitNext();
         submit(SECOND, 20);
         world.clock.passSeconds(8);
@@ -197,7 +197,7 @@
         Map<String, Object> left = jobBody("req-000009", "crew", "capped", "cpus", 4.0, "shape", "ensemble");
         left.put("last", 3);
         left.put("machines", Map.of("m-000901", "3:0"));
-        world.store.plant("outstanding/req-000009", left);
+        world.store.putRecord("outstanding/req-000009", left);
         killLeaderAndAwaitNext();
         submit(FIRST, 60);
         awaitRunning(1);
@@ -213,7 +213,7 @@
     @Test
     void anUnreadableRecordOfWhatIsOutstandingTakesAllRoomOfItsTeam() {
         machines(4);
-        world.store.plant("outstanding/req-000009", Map.of("crew", "capped", "machines", 7));
+        world.store.putRecord("outstanding/req-000009", Map.of("crew", "capped", "machines", 7));
         killLeaderAndAwaitNext();
         submit(FIRST, 10);
         world.clock.passSeconds(30);
--- a/src/test/java/org/weldcourse/app/RandomFaultsTest.java
+++ b/src/test/java/org/weldcourse/app/RandomFaultsTest.java
@@ -109,8 +109,8 @@
                 return FakeNetwork.NORMAL;
             }
             return switch (dice) {
-                case 0 -> FakeNetwork.ANSWER_LOST;
-                case 1 -> FakeNetwork.answeredLate(random.nextInt(3_000_000));
+                case 0 -> FakeNetwork.RESPONSE_LOST;
+                case 1 -> FakeNetwork.responseDelayedBy(random.nextInt(3_000_000));
                 default -> 2_000_000 + random.nextInt(14_000_000);
             };
         }
@@ -128,7 +128,7 @@
             }
             if (random.nextInt(6) == 0 && !accepted.isEmpty()) {
                 String id = new ArrayList<>(accepted.keySet()).get(random.nextInt(accepted.size()));
-                world.cancelSoon(node, id);
+                world.cancelAsync(node, id);
             } else if (world.store.keys("open/").size() < MOST_OPEN_JOBS) {
                 submit(node);
             }
@@ -137,10 +137,10 @@
         private void submit(String node) {
             String id = String.format("req-%06d", ++submitted);
             Map<String, Object> body = RandomJob.body(random, id, TEAM_NAMES, small);
-            if (RandomJob.drawTimes(random, world.rules(), body, 500_000, 25_000_000, 2_000_000)) {
+            if (RandomJob.drawTimes(random, world.invariants(), body, 500_000, 25_000_000, 2_000_000)) {
                 endless.add(id);
             }
-            world.submitSoon(node, body, answer -> {
+            world.submitAsync(node, body, answer -> {
                 if (answer.status() == 200 || answer.status() == 201) {
                     accepted.put(id, body);
                 }
@@ -185,7 +185,7 @@
             if (node == null || down.contains(node)) {
                 return false;
             }
-            world.thawNode(node);
+            world.resumeNode(node);
             world.killNode(node);
             down.add(node);
             soon(leastMicros, mostMicros, () -> back(node));
@@ -208,10 +208,10 @@
             if (node == null) {
                 return false;
             }
-            world.freezeNode(node);
+            world.pauseNode(node);
             soon(200_000, 14_000_000, () -> {
                 if (world.alive().contains(node)) {
-                    world.thawNode(node);
+                    world.resumeNode(node);
                 }
             });
             return true;
@@ -228,17 +228,17 @@
                     world.cutFromPeers(node);
                     world.cutFromStore(node);
                 }
-                default -> world.loseAnswers(node, true);
+                default -> world.loseResponses(node, true);
             }
             soon(1_000_000, 30_000_000, () -> heal(node));
             return true;
         }
 
         private void heal(String node) {
-            world.healToStore(node);
+            world.healStoreLink(node);
             world.refuseStore(node, false);
-            world.healToPeers(node);
-            world.loseAnswers(node, false);
+            world.healPeerLinks(node);
+            world.loseResponses(node, false);
         }
 
         private boolean troubleMachines(Fault fault) {
@@ -258,16 +258,16 @@
                     soon(500_000, 16_000_000, () -> worker.freeze(false));
                 }
                 case MACHINE_DEAF -> {
-                    world.deafen(machine);
+                    world.cutResponsesAndCommands(machine);
                     soon(1_000_000, 25_000_000, () -> world.heal(machine));
                 }
                 case MACHINE_MUTE -> {
-                    world.mute(machine);
+                    world.cutHeartbeats(machine);
                     soon(1_000_000, 25_000_000, () -> world.heal(machine));
                 }
                 case MACHINE_CUT -> {
-                    world.mute(machine);
-                    world.deafen(machine);
+                    world.cutHeartbeats(machine);
+                    world.cutResponsesAndCommands(machine);
                     soon(1_000_000, 25_000_000, () -> world.heal(machine));
                 }
                 case MACHINE_RESTARTED -> world.restartMachine(machine);
@@ -282,7 +282,7 @@
             for (int i = 0; i < 3 && !reports.isEmpty(); i++) {
                 Map<String, Object> copy =
                         reports.get(reports.size() - 1 - random.nextInt(Math.min(20, reports.size())));
-                soon(1, 20_000_000, () -> world.alive().forEach(node -> world.tellSoon(node, "/checkin", copy)));
+                soon(1, 20_000_000, () -> world.alive().forEach(node -> world.postAsync(node, "/checkin", copy)));
             }
         }
 
--- a/src/test/java/org/weldcourse/app/RealTeamLimitsTest.java
+++ b/src/test/java/org/weldcourse/app/RealTeamLimitsTest.java
@@ -66,9 +66,9 @@
     void limitsHoldOverAFrozenAndAKilledProcess() throws Exception {
         List<String> options = MODE.isEmpty() ? List.of() : List.of("--operators", MODE);
         cluster = new LoopbackCluster(3, MACHINES, TEAMS, directory, options);
-        history = cluster.on(() -> new QuotaHistoryChecker(cluster.state(), cluster.rules()));
-        cluster.on(() -> {
-            cluster.rules().alsoOnStart((task, attempt) -> started(task));
+        history = cluster.callOnEventLoop(() -> new QuotaHistoryChecker(cluster.state(), cluster.invariants()));
+        cluster.callOnEventLoop(() -> {
+            cluster.invariants().addStartListener((task, attempt) -> started(task));
             return null;
         });
         try {
@@ -170,7 +170,7 @@
                 limits("set", "core", "--cpus", "8", "--cpus-max", String.valueOf(CORE_LIMIT));
             }
         } catch (Exception failed) {
-            cluster.tell(() -> {
+            cluster.runOnEventLoop(() -> {
                 throw new AssertionError("the troubles did not come about", failed);
             });
         }
@@ -187,7 +187,7 @@
                     pace.acquire();
                     submit(number);
                 } catch (Exception failed) {
-                    cluster.tell(() -> {
+                    cluster.runOnEventLoop(() -> {
                         throw new AssertionError("a client failed", failed);
                     });
                 } finally {
@@ -217,9 +217,9 @@
                 "shape",
                 gang ? "ensemble" : "array");
         // Awaited: the stand-ins may serve a controller's write before what else their loop was given to do.
-        cluster.on(() -> {
-            cluster.rules().jobs.put(id, Json.objectOrEmpty(Json.bytes(body)));
-            return cluster.rules().runMicros.put(id, 200_000L + number % 5 * 200_000L);
+        cluster.callOnEventLoop(() -> {
+            cluster.invariants().jobs.put(id, Json.objectOrEmpty(Json.bytes(body)));
+            return cluster.invariants().runMicros.put(id, 200_000L + number % 5 * 200_000L);
         });
         submittedNanos.put(id, System.nanoTime());
         for (int attempt = 0; attempt < 60; attempt++) {
@@ -236,21 +236,21 @@
             refusals.incrementAndGet();
             Thread.sleep(1_000);
         }
-        cluster.tell(() -> {
+        cluster.runOnEventLoop(() -> {
             throw new AssertionError(id + " was not accepted");
         });
     }
 
     private boolean isAccepted(String node, String id, Map<String, Object> body) throws InterruptedException {
-        SimulatedCluster.Answer answer = answer("POST", node, "/v1/jobs", Json.bytes(body));
+        SimulatedCluster.ApiResponse answer = answer("POST", node, "/v1/jobs", Json.bytes(body));
         if (answer.status() == 200 || answer.status() == 201) {
-            cluster.tell(() -> cluster.rules().checkAnswer(id, null, answer));
+            cluster.runOnEventLoop(() -> cluster.invariants().checkResponse(id, null, answer));
             return true;
         }
         return false;
     }
 
-    private SimulatedCluster.Answer answer(String method, String node, String path, byte[] body)
+    private SimulatedCluster.ApiResponse answer(String method, String node, String path, byte[] body)
             throws InterruptedException {
         try {
             HttpRequest request = HttpRequest.newBuilder(URI.create("http://" + cluster.api(node) + path))
@@ -258,22 +258,22 @@
                     .method(method, HttpRequest.BodyPublishers.ofByteArray(body))
                     .build();
             HttpResponse<byte[]> response = http.send(request, HttpResponse.BodyHandlers.ofByteArray());
-            return new SimulatedCluster.Answer(response.statusCode(), Json.objectOrEmpty(response.body()), 0);
+            return new SimulatedCluster.ApiResponse(response.statusCode(), Json.objectOrEmpty(response.body()), 0);
         } catch (IOException unreachable) {
-            return new SimulatedCluster.Answer(0, Map.of(), 0);
+            return new SimulatedCluster.ApiResponse(0, Map.of(), 0);
         }
     }
 
     private void awaitAllEnded() throws Exception {
         for (int i = 0; i < MOST_SECONDS_TO_END * 5; i++) {
             cluster.throwFailure();
-            if (cluster.on(() -> cluster.state().keys("open/").isEmpty())) {
+            if (cluster.callOnEventLoop(() -> cluster.state().keys("open/").isEmpty())) {
                 return;
             }
             Thread.sleep(200);
         }
         throw new AssertionError(
-                "still open: " + cluster.on(() -> cluster.state().keys("open/")));
+                "still open: " + cluster.callOnEventLoop(() -> cluster.state().keys("open/")));
     }
 
     private void checkEveryJobIsKnown() throws Exception {
@@ -285,13 +285,13 @@
                     "done", answer("GET", node, "/v1/jobs/" + id, new byte[0]).state(), id);
         }
         for (String id : accepted) {
-            assertNotNull(cluster.on(() -> cluster.state().value("final/" + id)), id);
+            assertNotNull(cluster.callOnEventLoop(() -> cluster.state().value("final/" + id)), id);
         }
     }
 
     private void report(double submitSeconds, double seconds) throws Exception {
-        int writes = cluster.on(() -> cluster.state().writes());
-        int requests = cluster.on(() -> cluster.state().requests());
+        int writes = cluster.callOnEventLoop(() -> cluster.state().writes());
+        int requests = cluster.callOnEventLoop(() -> cluster.state().requests());
         System.out.printf(
                 "real processes, %s: %d jobs in %.1f s (%.1f a second accepted), %d refused and tried again; accepted"
                         + " after p50 %.1f p99 %.1f ms; first start after p50 %.2f p99 %.2f s; %d reservations,"
--- a/src/test/java/org/weldcourse/app/RepeatedFailoverTest.java
+++ b/src/test/java/org/weldcourse/app/RepeatedFailoverTest.java
@@ -170,8 +170,8 @@
                 world.heal(machine);
             }
         });
-        world.healToStore(old);
-        world.healToPeers(old);
+        world.healStoreLink(old);
+        world.healPeerLinks(old);
         scenario.assertAllJobsEnd(240);
     }
 }
--- a/src/test/java/org/weldcourse/app/ServicesTest.java
+++ b/src/test/java/org/weldcourse/app/ServicesTest.java
@@ -88,7 +88,7 @@
         switch (trouble) {
             case "notice" -> worker.announcePreemption(8_000_000);
             case "lost session" -> {
-                world.mute(machine);
+                world.cutHeartbeats(machine);
                 world.clock.passSeconds(10.4);
                 world.heal(machine);
             }
@@ -286,7 +286,9 @@
         world.network.injectFaults((from, call) -> {
             boolean admits = call.path().equals("/commit")
                     && new String(Json.bytes(call.body()), StandardCharsets.UTF_8).contains("\"write\":\"slices/" + ID);
-            return admits && admissions[0]++ == 0 ? FakeNetwork.answeredLate(answerLateMicros) : FakeNetwork.NORMAL;
+            return admits && admissions[0]++ == 0
+                    ? FakeNetwork.responseDelayedBy(answerLateMicros)
+                    : FakeNetwork.NORMAL;
         });
         world.runMicros.put(ID, Long.MAX_VALUE);
         assertEquals(201, world.submit("n0", service()).status());
--- a/src/test/java/org/weldcourse/app/StoredRecordsTest.java
+++ b/src/test/java/org/weldcourse/app/StoredRecordsTest.java
@@ -38,7 +38,7 @@
         world.cloud.capacity = 0;
         world.submit("n0", jobBody("req-000040"));
         world.clock.passSeconds(2);
-        world.store.removeSilently("open/req-000040");
+        world.store.removeWithoutEvent("open/req-000040");
         int writes = world.store.writes();
         world.cloud.capacity = 100;
         world.cloud.addUnrequested("large", "a", false);
@@ -74,7 +74,7 @@
         world.submit("n0", jobBody("req-000050"));
         assertTrue(world.reaches("n0", "req-000050", "running", 60));
         world.clock.passSeconds(2);
-        world.store.garble("slices/req-000050/0", Map.of("machines", Map.of("m-000000", "nonsense")));
+        world.store.corrupt("slices/req-000050/0", Map.of("machines", Map.of("m-000000", "nonsense")));
         world.killNode(world.leader());
         world.clock.passSeconds(7);
         String next = world.leader();
--- a/src/test/java/org/weldcourse/app/UnreachableMachinesTest.java
+++ b/src/test/java/org/weldcourse/app/UnreachableMachinesTest.java
@@ -41,12 +41,12 @@
 
     private static void trouble(SimulatedCluster world, String machine, String kind) {
         switch (kind) {
-            case "mute" -> world.mute(machine);
-            case "deaf" -> world.deafen(machine);
+            case "mute" -> world.cutHeartbeats(machine);
+            case "deaf" -> world.cutResponsesAndCommands(machine);
             case "hung" -> world.workers.get(machine).freeze(true);
             default -> {
-                world.mute(machine);
-                world.deafen(machine);
+                world.cutHeartbeats(machine);
+                world.cutResponsesAndCommands(machine);
             }
         }
     }
@@ -56,7 +56,7 @@
         FailureScenario scenario = scenario(2);
         String id = scenario.submitAndAwaitRunning(FOREVER);
         SimulatedCluster world = scenario.cluster;
-        scenario.machinesOf(id).forEach(world::mute);
+        scenario.machinesOf(id).forEach(world::cutHeartbeats);
         world.clock.pass(200_000);
         assertEquals("cancelled", scenario.cancel(id));
         world.clock.passSeconds(2);
@@ -119,7 +119,7 @@
         world.workers.values().forEach(worker -> new ArrayList<>(worker.heartbeats())
                 .stream()
                         .filter(report -> Json.list(report.get("beads")).isEmpty())
-                        .forEach(copy -> world.ask(world.leader(), "POST", "/checkin", Json.bytes(copy))));
+                        .forEach(copy -> world.request(world.leader(), "POST", "/checkin", Json.bytes(copy))));
         String ended = scenario.killLeader();
         scenario.awaitLeader(10);
         world.startNode(ended);
@@ -195,7 +195,7 @@
         FakeWorker worker = world.workerOf(runs + "/0");
         if (sessionsEnd) {
             // From an earlier session too: the tasks were lost with it and run again.
-            world.mute(worker.machine().name());
+            world.cutHeartbeats(worker.machine().name());
             world.clock.passSeconds(10.3);
             world.heal(worker.machine().name());
             world.clock.passSeconds(8);
@@ -208,7 +208,11 @@
         for (int i = 0; i < 60; i++) {
             Map<String, Object> copy = copies.get((i * 7) % copies.size());
             for (String node : world.alive()) {
-                taught += world.ask(node, "POST", "/checkin", Json.bytes(copy)).status() == 200 ? 1 : 0;
+                taught += world.request(node, "POST", "/checkin", Json.bytes(copy))
+                                        .status()
+                                == 200
+                        ? 1
+                        : 0;
             }
             world.clock.pass(90_000);
         }
@@ -217,7 +221,7 @@
         // And once more, held back until the new leader has acted.
         String after = scenario.submitAndAwaitRunning(10);
         for (Map<String, Object> copy : copies) {
-            world.ask(world.leader(), "POST", "/checkin", Json.bytes(copy));
+            world.request(world.leader(), "POST", "/checkin", Json.bytes(copy));
         }
         scenario.assertAllJobsEnd(120);
         int most = sessionsEnd ? 2 : 1;
@@ -238,7 +242,7 @@
         String second = scenario.submitAndAwaitRunning(30, "beads", 3);
         // Of a time when the machine was empty, or ran what is done by now.
         for (Map<String, Object> copy : copies) {
-            world.ask("n0", "POST", "/checkin", Json.bytes(copy));
+            world.request("n0", "POST", "/checkin", Json.bytes(copy));
             world.clock.pass(40_000);
         }
         scenario.assertAllJobsEnd(90);
--- a/src/test/java/org/weldcourse/app/UpgradeTest.java
+++ b/src/test/java/org/weldcourse/app/UpgradeTest.java
@@ -45,8 +45,8 @@
                 .decode((String) Json.object(records.get("done/req-000002/0")).get("bits")));
         assertEquals(1, small.cardinality());
         assertTrue(large.cardinality() > 1000);
-        world.adopt(Json.object(records.get("open/req-000001")), small);
-        world.adopt(Json.object(records.get("open/req-000002")), large);
+        world.addExistingJob(Json.object(records.get("open/req-000001")), small);
+        world.addExistingJob(Json.object(records.get("open/req-000002")), large);
         storeRecords(world, records);
         if (limitsLowered) {
             world.store.limit(4, 2048);
@@ -86,7 +86,7 @@
         Map<String, BitSet> finished = new TreeMap<>();
         for (String id : List.of("req-000001", "req-000002", "req-000005", "req-000006")) {
             finished.put(id, finishedTasksIn(records, id));
-            world.adopt(Json.object(records.get("open/" + id)), finished.get(id));
+            world.addExistingJob(Json.object(records.get("open/" + id)), finished.get(id));
             world.runMicros.put(id, 3_000_000L);
         }
         assertEquals(
@@ -94,7 +94,7 @@
                 finished.values().stream().map(BitSet::cardinality).toList());
         world.runMicros.put("req-000005", Long.MAX_VALUE);
         storeRecords(world, records);
-        world.cloud.numberMachinesFrom(100);
+        world.cloud.setNextMachineNumber(100);
         world.store.limit(4, 2048);
         world.clock.passSeconds(leaderEnds ? 25 : 40);
         if (leaderEnds) {
@@ -159,9 +159,9 @@
         Map<String, Object> body = jobBody("req-000001", "beads", tasks, "cpus", 0.1, "mem_gb", 0.1);
         BitSet finished = new BitSet();
         finished.set(0, 700);
-        world.adopt(body, finished);
+        world.addExistingJob(body, finished);
         storeOpenJob(world, body);
-        world.store.plant(
+        world.store.putRecord(
                 "slices/req-000001/0",
                 Json.of(
                         "last",
--- a/src/test/java/org/weldcourse/app/WorkerHeartbeatTest.java
+++ b/src/test/java/org/weldcourse/app/WorkerHeartbeatTest.java
@@ -63,7 +63,7 @@
         // Under the leader that returned the machine, and under one that never knew it.
         for (int term = 0; term < 2; term++) {
             for (Map<String, Object> copy : copies) {
-                world.ask(world.leader(), "POST", "/checkin", Json.bytes(copy));
+                world.request(world.leader(), "POST", "/checkin", Json.bytes(copy));
                 world.clock.pass(100_000);
             }
             if (term == 0) {
@@ -101,15 +101,15 @@
             world.clock.passSeconds(2);
             FakeWorker worker = world.workers.values().iterator().next();
             world.submit("n0", jobBody("req-000057", "beads", 1));
-            int before = worker.directOrders();
+            int before = worker.directCommands();
             for (int i = 0; i < 8; i++) {
                 if (late == 1) {
-                    world.freezeNode("n0");
+                    world.pauseNode("n0");
                 }
                 world.clock.pass(120_000);
-                world.thawNode("n0");
+                world.resumeNode("n0");
             }
-            rung[late] = worker.directOrders() - before;
+            rung[late] = worker.directCommands() - before;
             assertTrue(world.reaches("n0", "req-000057", "done", 60));
         }
         assertEquals(1, rung[0]);
--- a/src/test/java/org/weldcourse/peers/PeersTest.java
+++ b/src/test/java/org/weldcourse/peers/PeersTest.java
@@ -102,7 +102,7 @@
         cluster.cutFromStore(others.get(1));
         cluster.clock.passSeconds(5);
         assertEquals(200, readyStatus(cluster, leader), "no standby serves");
-        cluster.healToStore(others.get(1));
+        cluster.healStoreLink(others.get(1));
         cluster.clock.passSeconds(5);
         assertEquals(200, readyStatus(cluster, leader), "the load balancer may not send users to it yet");
         cluster.clock.passSeconds(20);
@@ -110,7 +110,7 @@
     }
 
     private static int readyStatus(SimulatedCluster cluster, String node) {
-        return cluster.ask(node, "GET", "/ready", new byte[0]).status();
+        return cluster.request(node, "GET", "/ready", new byte[0]).status();
     }
 
     @Test
@@ -119,14 +119,15 @@
         cluster.clock.passSeconds(2);
         cluster.store.down(true);
         cluster.clock.passSeconds(8);
-        assertEquals(200, cluster.ask("n0", "GET", "/ready", new byte[0]).status(), "the store is down for all nodes");
+        assertEquals(
+                200, cluster.request("n0", "GET", "/ready", new byte[0]).status(), "the store is down for all nodes");
         cluster.store.down(false);
         cluster.clock.passSeconds(3);
         cluster.cutFromStore("n0");
         cluster.clock.passSeconds(8);
-        assertEquals(503, cluster.ask("n0", "GET", "/ready", new byte[0]).status());
-        cluster.healToStore("n0");
+        assertEquals(503, cluster.request("n0", "GET", "/ready", new byte[0]).status());
+        cluster.healStoreLink("n0");
         cluster.clock.passSeconds(3);
-        assertEquals(200, cluster.ask("n0", "GET", "/ready", new byte[0]).status());
+        assertEquals(200, cluster.request("n0", "GET", "/ready", new byte[0]).status());
     }
 }
--- a/src/test/java/org/weldcourse/quota/QuotaChangesTest.java
+++ b/src/test/java/org/weldcourse/quota/QuotaChangesTest.java
@@ -55,7 +55,7 @@
         for (int i = 0; i < 3; i++) {
             for (String node : List.of("n0", "n1", "n2")) {
                 String shape = i == 1 ? "array" : "ensemble";
-                scenario.cluster.submitSoon(
+                scenario.cluster.submitAsync(
                         node, scenario.job(CORE, 1_500_000, "shape", shape, "beads", 2L), answer -> {});
             }
             scenario.cluster.clock.passSeconds(i == 0 ? 9 : 3);
@@ -105,7 +105,7 @@
     @Test
     void unreadableRecordStopsOnlyItsTeam() {
         for (Object unreadable : List.of(Json.of("format", 2L, "team", CORE), Json.of("cpus", "many"))) {
-            cluster.store.plant(QuotaRecordCodec.teamKey(CORE), unreadable);
+            cluster.store.putRecord(QuotaRecordCodec.teamKey(CORE), unreadable);
             cluster.clock.passSeconds(2);
             Map<String, Object> stopped = submitAccepted("n0", job(CORE, 1_000_000));
             Map<String, Object> other = submitAccepted("n1", job("edge", 1_000_000));
@@ -142,7 +142,7 @@
         submitService(CORE, 8);
         cluster.clock.passSeconds(40);
         assertEquals(8, runningTasks(CORE));
-        cluster.store.plant(QuotaRecordCodec.teamKey(CORE), Json.of("format", 2L, "team", CORE));
+        cluster.store.putRecord(QuotaRecordCodec.teamKey(CORE), Json.of("format", 2L, "team", CORE));
         cluster.clock.passSeconds(2);
         submitService("edge", 8);
         cluster.clock.passSeconds(40);
@@ -187,7 +187,7 @@
         List<QuotaEditor.Result<TeamQuota>> results = new ArrayList<>();
         for (String team : List.of(CORE, "edge", "late")) {
             QuotaChange change = new QuotaChange(6.0, null, null, null, null, null);
-            new QuotaEditor(cluster.storeOf("operator-" + team)).set(team(team), change, results::add);
+            new QuotaEditor(cluster.storeClient("operator-" + team)).set(team(team), change, results::add);
         }
         cluster.clock.passSeconds(5);
         assertEquals(3, results.size());
@@ -196,7 +196,7 @@
         results.clear();
         for (String team : List.of(CORE, "edge")) {
             QuotaChange change = new QuotaChange(8.0, null, null, null, null, null);
-            new QuotaEditor(cluster.storeOf("operator-" + team)).set(team(team), change, results::add);
+            new QuotaEditor(cluster.storeClient("operator-" + team)).set(team(team), change, results::add);
         }
         cluster.clock.passSeconds(5);
         assertEquals(1, results.stream().filter(QuotaEditor.Result::isChanged).count(), results.toString());
@@ -207,7 +207,7 @@
     void concurrentChangeReportsTheStoredSpec() {
         List<QuotaEditor.Result<TeamQuota>> results = new ArrayList<>();
         for (double cpus : new double[] {6, 7}) {
-            new QuotaEditor(cluster.storeOf("operator-" + cpus)).set(team(CORE), limitChange(cpus), results::add);
+            new QuotaEditor(cluster.storeClient("operator-" + cpus)).set(team(CORE), limitChange(cpus), results::add);
         }
         cluster.clock.passSeconds(5);
         List<QuotaEditor.Result<TeamQuota>> refused =
--- a/src/test/java/org/weldcourse/quota/QuotaHistoryChecker.java
+++ b/src/test/java/org/weldcourse/quota/QuotaHistoryChecker.java
@@ -17,7 +17,7 @@
 import org.weldcourse.quota.ledger.UnreadableQuotaRecordException;
 import org.weldcourse.simulation.ClusterInvariants;
 import org.weldcourse.simulation.FakeStore;
-import org.weldcourse.simulation.FakeStore.Written;
+import org.weldcourse.simulation.FakeStore.CommittedWrite;
 import org.weldcourse.store.Store;
 
 /**
@@ -60,7 +60,7 @@
     public QuotaHistoryChecker(FakeStore state, ClusterInvariants invariants) {
         this.invariants = invariants;
         state.onCommit(this::onCommit);
-        invariants.onStart(this::onStart);
+        invariants.setStartListener(this::onStart);
     }
 
     public int reservations() {
@@ -79,8 +79,8 @@
         return admissions;
     }
 
-    private void onCommit(List<Written> changes) {
-        for (Written change : changes) {
+    private void onCommit(List<CommittedWrite> changes) {
+        for (CommittedWrite change : changes) {
             if (change.key().startsWith(QuotaRecordCodec.PREFIX)) {
                 onQuotaWritten(change);
             } else if (change.key().startsWith(StoreKeys.OPEN_JOBS)) {
@@ -91,7 +91,7 @@
         }
     }
 
-    private void onQuotaWritten(Written change) {
+    private void onQuotaWritten(CommittedWrite change) {
         Store.Entry entry = new Store.Entry(change.key(), change.value(), change.version(), 0);
         try {
             if (QuotaRecordCodec.isCohort(change.key())) {
@@ -108,7 +108,7 @@
         }
     }
 
-    private void onTeamWritten(Written change, TeamQuota record) {
+    private void onTeamWritten(CommittedWrite change, TeamQuota record) {
         LimitHistory limit = limitsByTeam.computeIfAbsent(record.name(), team -> new LimitHistory());
         limit.record = record;
         limit.spent.clear();
@@ -119,7 +119,7 @@
         }
     }
 
-    private void onJobWritten(Written change) {
+    private void onJobWritten(CommittedWrite change) {
         String id = StoreKeys.jobId(change.key());
         if (change.value() == null) {
             openJobs.remove(id);
@@ -152,7 +152,7 @@
         }
     }
 
-    private void onAdmissionWritten(Written change) {
+    private void onAdmissionWritten(CommittedWrite change) {
         String id = StoreKeys.jobId(change.key());
         admittedJobs.add(id);
         AdmissionRecordCodec.visit(change.value(), (machine, attempt, first, last) -> {
@@ -237,7 +237,7 @@
         }
         int left = 0;
         for (int task = 0; task < job.tasks && left < job.reservation.tasks(); task++) {
-            left += invariants.isOver(job.id, task) ? 0 : 1;
+            left += invariants.isTaskDone(job.id, task) ? 0 : 1;
         }
         return left;
     }
--- a/src/test/java/org/weldcourse/quota/ReservationCostTest.java
+++ b/src/test/java/org/weldcourse/quota/ReservationCostTest.java
@@ -33,10 +33,10 @@
      */
     private static Cost measure(OperatorSettings.TeamLimitSource mode) {
         SimulatedCluster cluster = new SimulatedCluster(5, 16, 32 * 1024, TEAMS, mode);
-        QuotaHistoryChecker checker = new QuotaHistoryChecker(cluster.store, cluster.rules());
+        QuotaHistoryChecker checker = new QuotaHistoryChecker(cluster.store, cluster.invariants());
         Map<String, Long> submitted = new HashMap<>();
         List<Long> waits = new ArrayList<>();
-        cluster.rules().alsoOnStart((task, attempt) -> {
+        cluster.invariants().addStartListener((task, attempt) -> {
             Long submittedMicros = submitted.remove(task.substring(0, task.indexOf('/')));
             if (submittedMicros != null) {
                 waits.add(cluster.clock.nowMicros() - submittedMicros);
@@ -53,7 +53,7 @@
                 submitted.put(id, cluster.clock.nowMicros());
                 Map<String, Object> body =
                         jobBody(id, "crew", "core", "cpus", 1.0, "beads", 2L, "shape", "ensemble", "expected_s", 2.0);
-                cluster.submitSoon(node, body, answer -> {});
+                cluster.submitAsync(node, body, answer -> {});
                 cluster.clock.pass(200_000);
             }
         }
--- a/src/test/java/org/weldcourse/quota/TeamLimitsRandomTest.java
+++ b/src/test/java/org/weldcourse/quota/TeamLimitsRandomTest.java
@@ -68,7 +68,7 @@
             this.totals = totals;
             random = new Random(seed);
             cluster = new SimulatedCluster(NODES, 16, 32 * 1024, TEAMS, OperatorSettings.TeamLimitSource.RECORDED);
-            history = new QuotaHistoryChecker(cluster.store, cluster.rules());
+            history = new QuotaHistoryChecker(cluster.store, cluster.invariants());
             inCohort = seed % 2 == 1;
             lightLoad = seed % 4 >= 2;
         }
@@ -76,7 +76,7 @@
         private long injectedFault() {
             int roll = random.nextInt(200);
             if (roll == 0) {
-                return FakeNetwork.ANSWER_LOST;
+                return FakeNetwork.RESPONSE_LOST;
             }
             // The write takes effect long after the caller has timed out.
             return roll == 1 ? 2_000_000 + random.nextInt(8_000_000) : FakeNetwork.NORMAL;
@@ -84,7 +84,7 @@
 
         /** Puts both teams in one cohort. Half of the scenarios do so. */
         private void joinCohort() {
-            QuotaEditor editor = new QuotaEditor(cluster.storeOf("operator"));
+            QuotaEditor editor = new QuotaEditor(cluster.storeClient("operator"));
             editAndRequireSuccess(callback -> editor.setCohort(COHORT, cohortChange(COHORT_LIMIT), callback));
             for (Settings.Team team : TEAMS) {
                 editAndRequireSuccess(
@@ -128,11 +128,11 @@
                 case 3, 4, 5, 6, 7 -> submit(randomNode());
                 case 8, 9, 10 -> setLimit();
                 case 11 -> cancelOne();
-                case 12 -> cluster.freezeNode(randomNode());
-                case 13 -> cluster.alive().forEach(cluster::thawNode);
+                case 12 -> cluster.pauseNode(randomNode());
+                case 13 -> cluster.alive().forEach(cluster::resumeNode);
                 case 14 -> killAndRestart(random.nextBoolean());
                 case 15 -> cluster.cutFromStore(randomNode());
-                case 16 -> cluster.nodes().forEach(cluster::healToStore);
+                case 16 -> cluster.nodes().forEach(cluster::healStoreLink);
                 case 17 -> cluster.refuseStore(randomNode(), random.nextBoolean());
                 case 18 -> hangMachine();
                 default -> loseLeader();
@@ -168,7 +168,7 @@
             }
             body.put("rank", random.nextInt(4) == 0 ? "urgent" : "normal");
             cluster.runMicros.putIfAbsent(id, 300_000L + random.nextInt(lightLoad ? 1_000_000 : 6_000_000));
-            cluster.submitSoon(node, body, answer -> {
+            cluster.submitAsync(node, body, answer -> {
                 if (answer.status() == 200 || answer.status() == 201) {
                     accepted.put(id, body);
                 }
@@ -179,7 +179,7 @@
             totals.limitsSet++;
             if (inCohort && random.nextInt(3) == 0) {
                 double limit = 4 + random.nextInt((int) COHORT_LIMIT - 3);
-                new QuotaEditor(cluster.storeOf("operator")).setCohort(COHORT, cohortChange(limit), result -> {});
+                new QuotaEditor(cluster.storeClient("operator")).setCohort(COHORT, cohortChange(limit), result -> {});
                 return;
             }
             Settings.Team team = TEAMS.get(random.nextInt(TEAMS.size()));
@@ -189,7 +189,7 @@
             }
             OverQuotaPolicy over = random.nextBoolean() ? OverQuotaPolicy.DRAIN : OverQuotaPolicy.PREEMPT;
             QuotaChange change = new QuotaChange(Math.min(limit, team.cpus()), limit, null, null, over, null);
-            new QuotaEditor(cluster.storeOf("operator")).set(team, change, result -> {});
+            new QuotaEditor(cluster.storeClient("operator")).set(team, change, result -> {});
         }
 
         private void cancelOne() {
@@ -219,7 +219,7 @@
 
         private void loseLeader() {
             if (cluster.leader() != null) {
-                cluster.freezeNode(cluster.leader());
+                cluster.pauseNode(cluster.leader());
             }
         }
 
@@ -239,22 +239,22 @@
         /** Ends all faults, then checks that every accepted job ends or is cancelled and that no open job remains. */
         private void recover() {
             cluster.network.injectFaults((from, call) -> FakeNetwork.NORMAL);
-            cluster.alive().forEach(cluster::thawNode);
+            cluster.alive().forEach(cluster::resumeNode);
             stoppedNodes.forEach(cluster::startNode);
             cluster.nodes().forEach(node -> {
-                cluster.healToStore(node);
+                cluster.healStoreLink(node);
                 cluster.refuseStore(node, false);
             });
             cluster.clock.passSeconds(30);
             if (inCohort) {
-                QuotaEditor editor = new QuotaEditor(cluster.storeOf("operator"));
+                QuotaEditor editor = new QuotaEditor(cluster.storeClient("operator"));
                 editAndRequireSuccess(callback -> editor.setCohort(COHORT, cohortChange(COHORT_LIMIT), callback));
             }
             for (Settings.Team team : TEAMS) {
                 QuotaChange change =
                         new QuotaChange(team.cpus(), team.cpusMax(), null, null, OverQuotaPolicy.DRAIN, null);
                 editAndRequireSuccess(
-                        callback -> new QuotaEditor(cluster.storeOf("operator")).set(team, change, callback));
+                        callback -> new QuotaEditor(cluster.storeClient("operator")).set(team, change, callback));
             }
             for (String id : cancelled) {
                 if (accepted.containsKey(id)) {
--- a/src/test/java/org/weldcourse/quota/TeamLimitsTest.java
+++ b/src/test/java/org/weldcourse/quota/TeamLimitsTest.java
@@ -26,7 +26,7 @@
             for (String node : cluster.alive()) {
                 Map<String, Object> body = job(CORE, 3_000_000, "shape", "ensemble", "beads", (long) gangSize);
                 ids.add(id(body));
-                cluster.submitSoon(node, body, answer -> statuses.add(answer.status()));
+                cluster.submitAsync(node, body, answer -> statuses.add(answer.status()));
             }
         }
         cluster.clock.passSeconds(2);
@@ -40,7 +40,7 @@
     void lastUnitOfQuotaIsUsedByOneTask() {
         set(CORE, limitChange(1));
         for (int i = 0; i < 5; i++) {
-            cluster.alive().forEach(node -> cluster.submitSoon(node, job(CORE, 500_000), answer -> {}));
+            cluster.alive().forEach(node -> cluster.submitAsync(node, job(CORE, 500_000), answer -> {}));
             cluster.clock.passSeconds(4);
             assertTrue(reservedCpus(CORE) <= 1);
             assertTrue(runningTasks(CORE) <= 1);
@@ -68,7 +68,7 @@
         String owner = teamRecord(CORE).budgets().keySet().iterator().next();
         String node = owner.substring(0, owner.indexOf('#'));
         int reservationsBefore = history.reservations();
-        cluster.submitSoon(node, job(CORE, 1_000_000, "shape", "ensemble"), answer -> {});
+        cluster.submitAsync(node, job(CORE, 1_000_000, "shape", "ensemble"), answer -> {});
         cluster.clock.passSeconds(1);
         assertTrue(delayedSubmissions[0] > 0, "the submission is in progress");
         set(CORE, limitChange(1));
@@ -88,7 +88,7 @@
         cluster.network.injectFaults((from, call) -> {
             boolean submission =
                     call.path().equals("/commit") && call.body().toString().contains("accepted");
-            return submission && submissions[0]++ == 0 ? FakeNetwork.ANSWER_LOST : FakeNetwork.NORMAL;
+            return submission && submissions[0]++ == 0 ? FakeNetwork.RESPONSE_LOST : FakeNetwork.NORMAL;
         });
         int reservationsBefore = history.reservations();
         String owner = teamRecord(CORE).budgets().keySet().iterator().next();
@@ -109,14 +109,14 @@
                 .findFirst()
                 .orElseThrow();
         String node = owner.substring(0, owner.indexOf('#'));
-        cluster.freezeNode(node);
+        cluster.pauseNode(node);
         for (int i = 0; i < 4; i++) {
-            cluster.submitSoon(node, job(CORE, 2_000_000, "shape", "ensemble"), answer -> {});
+            cluster.submitAsync(node, job(CORE, 2_000_000, "shape", "ensemble"), answer -> {});
         }
         set(CORE, limitChange(2));
         cluster.clock.passSeconds(20);
         int reservationsBefore = history.reservations();
-        cluster.thawNode(node);
+        cluster.resumeNode(node);
         cluster.clock.passSeconds(1);
         assertEquals(reservationsBefore, history.reservations(), "its budget was withdrawn");
         for (int i = 0; i < 100 && !cluster.store.keys("open/").isEmpty(); i++) {
@@ -163,8 +163,8 @@
         submitService(CORE, 12);
         cluster.clock.passSeconds(40);
         assertEquals(12, runningTasks(CORE), "borrows all unused guarantees");
-        cluster.submitSoon("n1", job("edge", FOREVER, "shape", "service", "beads", 4L, "expected_s", 0.0), a -> {});
-        cluster.submitSoon("n2", job("late", FOREVER, "shape", "ensemble", "beads", 4L), answer -> {});
+        cluster.submitAsync("n1", job("edge", FOREVER, "shape", "service", "beads", 4L, "expected_s", 0.0), a -> {});
+        cluster.submitAsync("n2", job("late", FOREVER, "shape", "ensemble", "beads", 4L), answer -> {});
         double seconds = secondsUntilGuarantees("edge", "late");
         System.out.println("guarantees of two teams restored after " + seconds + " s");
         assertTrue(seconds <= 30, seconds + " s");
@@ -219,7 +219,7 @@
             for (String node : cluster.alive()) {
                 Map<String, Object> body = job(CORE, 4_000_000, "shape", "ensemble", "rank", "normal");
                 ids.add(id(body));
-                cluster.submitSoon(node, body, answer -> {});
+                cluster.submitAsync(node, body, answer -> {});
             }
             cluster.clock.pass(400_000);
         }
--- a/src/test/java/org/weldcourse/quota/TeamLimitsTestBase.java
+++ b/src/test/java/org/weldcourse/quota/TeamLimitsTestBase.java
@@ -40,8 +40,8 @@
 
     TeamLimitsTestBase() {
         cluster = new SimulatedCluster(5, 16, 32 * 1024, TEAMS, OperatorSettings.TeamLimitSource.RECORDED);
-        history = new QuotaHistoryChecker(cluster.store, cluster.rules());
-        operator = new QuotaEditor(cluster.storeOf("operator"));
+        history = new QuotaHistoryChecker(cluster.store, cluster.invariants());
+        operator = new QuotaEditor(cluster.storeClient("operator"));
         cluster.clock.passSeconds(3);
     }
 
--- a/src/test/java/org/weldcourse/simulation/ClusterInvariants.java
+++ b/src/test/java/org/weldcourse/simulation/ClusterInvariants.java
@@ -11,7 +11,7 @@
 import java.util.function.BiConsumer;
 import org.weldcourse.http.Json;
 import org.weldcourse.settings.Settings;
-import org.weldcourse.simulation.SimulatedCluster.Answer;
+import org.weldcourse.simulation.SimulatedCluster.ApiResponse;
 
 /**
  * The rules of the protocol, watched from outside: what tasks do on machines, and what users are told. A task is on its
@@ -39,7 +39,7 @@
     private final FakeClock time;
     private final List<Settings.Team> teams;
     private final long cancelMicros;
-    private BiConsumer<String, Integer> onStart = (task, attempt) -> {};
+    private BiConsumer<String, Integer> setStartListener = (task, attempt) -> {};
     private int startsAfterCancellation;
 
     public ClusterInvariants(FakeClock time, List<Settings.Team> teams, long cancelMicros) {
@@ -49,22 +49,22 @@
     }
 
     /** Told of each task that starts, after the rules were checked. */
-    public void onStart(BiConsumer<String, Integer> listener) {
-        onStart = listener;
+    public void setStartListener(BiConsumer<String, Integer> listener) {
+        setStartListener = listener;
     }
 
     /** Told as well, after the listener that was there before. */
-    public void alsoOnStart(BiConsumer<String, Integer> listener) {
-        onStart = onStart.andThen(listener);
+    public void addStartListener(BiConsumer<String, Integer> listener) {
+        setStartListener = setStartListener.andThen(listener);
     }
 
     /** The latest that any node told of the job, or null. */
-    public String lastTold(String id) {
+    public String lastReportedState(String id) {
         return told.get(id);
     }
 
     /** Fails when an answer is older than what was told before its question, or is not true. */
-    public Answer checkAnswer(String id, String before, Answer answer) {
+    public ApiResponse checkResponse(String id, String before, ApiResponse answer) {
         if (answer.status() != 200 && answer.status() != 201) {
             if (before != null && (answer.status() == 404 || answer.status() == 400 || answer.status() == 422)) {
                 throw new AssertionError("forgotten: " + id + " after " + before + ": " + answer);
@@ -92,21 +92,21 @@
 
     private void checkDone(String id) {
         for (int task = 0; task < Json.integer(jobs.get(id), "beads", 0); task++) {
-            if (!isOver(id, task)) {
+            if (!isTaskDone(id, task)) {
                 throw new AssertionError("not_done: " + id + "/" + task);
             }
         }
     }
 
     /** Whether the task is done; all tasks of a gang are with whichever of them is the first. */
-    public boolean isOver(String id, int task) {
+    public boolean isTaskDone(String id, int task) {
         return isGang(id)
                 ? completed.stream().anyMatch(done -> done.startsWith(id + "/"))
                 : completed.contains(id + "/" + task);
     }
 
     /** A job that was accepted, and partly done, before this world began: its record holds the user's words. */
-    public void adopt(Map<String, Object> record, BitSet done) {
+    public void addExistingJob(Map<String, Object> record, BitSet done) {
         String id = Json.text(record, "name_id");
         jobs.put(id, record);
         told.put(id, "open");
@@ -179,7 +179,7 @@
         running.put(task, worker);
         starts.merge(task, 1, Integer::sum);
         checkQuota();
-        onStart.accept(task, attempt);
+        setStartListener.accept(task, attempt);
         if (isGang(id)) {
             startGangIfComplete(id, attempt);
         }
@@ -220,7 +220,7 @@
 
     /** The tasks of the gang that still run give up. */
     private void gangMembersGiveUp(String id, int attempt) {
-        if (isOver(id, 0)) {
+        if (isTaskDone(id, 0)) {
             return;
         }
         for (String mate : tasksOf(id)) {
@@ -232,7 +232,7 @@
     }
 
     private void checkPlace(Map<String, Object> job, String id, FakeWorker worker) {
-        FakeCloud.Rented at = worker.machine();
+        FakeCloud.RentedMachine at = worker.machine();
         boolean wrong = job.get("rigs") != null && !Json.list(job.get("rigs")).contains(at.type())
                 || job.get("yard") != null && !job.get("yard").equals(at.zone())
                 || !Json.flag(job, "loaners") && at.spot();
--- a/src/test/java/org/weldcourse/simulation/ClusterInvariantsTest.java
+++ b/src/test/java/org/weldcourse/simulation/ClusterInvariantsTest.java
@@ -31,7 +31,7 @@
                     (call, done) -> {},
                     List.of("n0:80"),
                     Map.of("n0", "n0:80"),
-                    new FakeCloud.Rented("m-" + i, "large", "a", false),
+                    new FakeCloud.RentedMachine("m-" + i, "large", "a", false),
                     "m-" + i + ":9000",
                     rules,
                     1_000_000,
@@ -75,7 +75,7 @@
         expectQuota(1, "req-000001/2");
         time.pass(60_000_000);
         assertEquals(2, workers.get(0).presentTasks().size(), "its lease is over, and it hangs still");
-        workers.get(0).die();
+        workers.get(0).kill();
         assertEquals(0, rules.runningTasks());
     }
 
--- a/src/test/java/org/weldcourse/simulation/FakeCloud.java
+++ b/src/test/java/org/weldcourse/simulation/FakeCloud.java
@@ -14,24 +14,24 @@
 /** The cloud: two machine types in two zones, machines that come up after a while, and no lag but what is asked. */
 public final class FakeCloud implements Server.Handler {
     /** A machine as it was rented. */
-    public record Rented(String name, String type, String zone, boolean spot) {}
+    public record RentedMachine(String name, String type, String zone, boolean spot) {}
 
     private final FakeClock time;
     public long bootMicros;
-    private final Consumer<Rented> up;
+    private final Consumer<RentedMachine> up;
     private final Consumer<String> gone;
-    private final TreeMap<String, Rented> machines = new TreeMap<>();
+    private final TreeMap<String, RentedMachine> machines = new TreeMap<>();
     private final Set<String> running = new HashSet<>();
     private final Map<String, List<String>> requests = new HashMap<>();
     private final Map<String, Long> rentedMicros = new HashMap<>();
-    private int made;
+    private int machinesCreated;
     private boolean down;
-    private boolean nonsense;
+    private boolean sendMalformedResponses;
     public int capacity = 100;
     private int refused;
     public final List<String> released = new ArrayList<>();
 
-    public FakeCloud(FakeClock time, long bootMicros, Consumer<Rented> up, Consumer<String> gone) {
+    public FakeCloud(FakeClock time, long bootMicros, Consumer<RentedMachine> up, Consumer<String> gone) {
         this.time = time;
         this.bootMicros = bootMicros;
         this.up = up;
@@ -39,8 +39,8 @@
     }
 
     /** Answers 200 with lists of what nobody asked for. */
-    public void nonsense(boolean isNonsense) {
-        nonsense = isNonsense;
+    public void sendMalformedResponses(boolean isNonsense) {
+        sendMalformedResponses = isNonsense;
     }
 
     public void down(boolean isDown) {
@@ -48,8 +48,8 @@
     }
 
     /** Numbers new machines from here on: those with lower numbers belong to an earlier day. */
-    public void numberMachinesFrom(int number) {
-        made = number;
+    public void setNextMachineNumber(int number) {
+        machinesCreated = number;
     }
 
     /** How many calls it refused while it was down. */
@@ -58,8 +58,8 @@
     }
 
     /** How many machines there were in all, those that are gone among them. */
-    public int made() {
-        return made;
+    public int machinesCreated() {
+        return machinesCreated;
     }
 
     public Set<String> machines() {
@@ -72,8 +72,8 @@
     }
 
     private String make(String type, String zone, boolean spot) {
-        String name = String.format("m-%06d", made++);
-        Rented rented = new Rented(name, type, zone, spot);
+        String name = String.format("m-%06d", machinesCreated++);
+        RentedMachine rented = new RentedMachine(name, type, zone, spot);
         machines.put(name, rented);
         rentedMicros.put(name, time.nowMicros());
         time.after(bootMicros, () -> {
@@ -92,7 +92,7 @@
             reply.send(503, Json.of("error", "trouble"));
             return;
         }
-        if (nonsense) {
+        if (sendMalformedResponses) {
             reply.send(
                     200, Json.of("forges", List.of(7, Map.of("name_id", 3), "no"), "has_next", "perhaps", "rigs", 5));
             return;
@@ -166,7 +166,7 @@
 
     private void list(Server.Reply reply) {
         List<Object> forges = new ArrayList<>();
-        for (Rented rented : machines.values()) {
+        for (RentedMachine rented : machines.values()) {
             forges.add(Json.of(
                     "name_id",
                     rented.name,
--- a/src/test/java/org/weldcourse/simulation/FakeNetwork.java
+++ b/src/test/java/org/weldcourse/simulation/FakeNetwork.java
@@ -26,10 +26,10 @@
     }
 
     public static final long NORMAL = -1;
-    public static final long ANSWER_LOST = 0;
+    public static final long RESPONSE_LOST = 0;
 
     /** The call is carried out as usual, and its answer comes so much later. */
-    public static long answeredLate(long micros) {
+    public static long responseDelayedBy(long micros) {
         return NORMAL - micros;
     }
 
@@ -47,7 +47,7 @@
     }
 
     /** Every call to the address takes so much longer to arrive. */
-    public void slow(String to, long micros) {
+    public void setLatency(String to, long micros) {
         slowMicros.put(to, micros);
     }
 
@@ -73,7 +73,7 @@
     }
 
     /** Requests from this caller are carried out, but no answer comes back. */
-    public void loseAnswers(String from, boolean lose) {
+    public void loseResponses(String from, boolean lose) {
         if (lose) {
             deaf.add(from);
         } else {
@@ -81,7 +81,7 @@
         }
     }
 
-    public HttpClient caller(String from) {
+    public HttpClient client(String from) {
         return (call, done) -> {
             boolean[] finished = new boolean[1];
             String way = from + ">" + call.address();
--- a/src/test/java/org/weldcourse/simulation/FakeStore.java
+++ b/src/test/java/org/weldcourse/simulation/FakeStore.java
@@ -31,12 +31,12 @@
     private int writes;
     private int requests;
     private long oldestWatched;
-    private Consumer<List<Written>> onCommit = written -> {};
+    private Consumer<List<CommittedWrite>> onCommit = written -> {};
     private String unguardedPrefix;
     private String lostPrefix;
 
     /** One change of a commit; {@code value} is null for a key that was deleted. */
-    public record Written(String key, Map<String, Object> value, long version) {}
+    public record CommittedWrite(String key, Map<String, Object> value, long version) {}
 
     public FakeStore(FakeClock time, int txnOps, int valueBytes) {
         this.time = time;
@@ -45,7 +45,7 @@
     }
 
     /** Told of the changes of each transaction that is carried out. */
-    public void onCommit(Consumer<List<Written>> listener) {
+    public void onCommit(Consumer<List<CommittedWrite>> listener) {
         onCommit = listener;
     }
 
@@ -90,18 +90,18 @@
     }
 
     /** Puts a record there as another version wrote it. */
-    public void plant(String key, Object value) {
+    public void putRecord(String key, Object value) {
         revision++;
         put(key, new Value(Json.objectOrEmpty(Json.bytes(value)), revision, 0));
     }
 
     /** Makes nonsense of a value behind everybody's back. */
-    public void garble(String key, Object value) {
+    public void corrupt(String key, Object value) {
         values.computeIfPresent(key, (same, old) -> new Value(value, old.version, old.lease));
     }
 
     /** Takes a key away without a word to any watch. */
-    public void removeSilently(String key) {
+    public void removeWithoutEvent(String key) {
         values.remove(key);
     }
 
@@ -257,13 +257,13 @@
     }
 
     private void tellCommitted(List<Object> changed) {
-        List<Written> written = new ArrayList<>();
+        List<CommittedWrite> written = new ArrayList<>();
         for (Object item : changed) {
             Map<String, Object> op = Json.object(item);
             written.add(
                     op.containsKey("write")
-                            ? new Written(Json.text(op, "write"), Json.object(op.get("value")), revision)
-                            : new Written(Json.text(op, "delete"), null, revision));
+                            ? new CommittedWrite(Json.text(op, "write"), Json.object(op.get("value")), revision)
+                            : new CommittedWrite(Json.text(op, "delete"), null, revision));
         }
         onCommit.accept(written);
     }
@@ -321,7 +321,7 @@
     }
 
     /** Watches from before now are too old from here on. */
-    public void forgetChanges() {
+    public void compactHistory() {
         changes.clear();
         oldestWatched = revision;
     }
--- a/src/test/java/org/weldcourse/simulation/FakeWorker.java
+++ b/src/test/java/org/weldcourse/simulation/FakeWorker.java
@@ -15,7 +15,7 @@
     private final HttpClient caller;
     private final List<String> controllers;
     private final Map<String, String> addressByName;
-    private final FakeCloud.Rented machine;
+    private final FakeCloud.RentedMachine machine;
     private final String address;
     private final TaskBehavior behavior;
     private final FakeTaskRunner tasks;
@@ -25,7 +25,7 @@
     private long incarnation = 1;
     private long sequence;
     private long fencingToken;
-    private int directOrders;
+    private int directCommands;
     private long answeredSentMicros;
     private int target;
     private boolean alive = true;
@@ -41,7 +41,7 @@
             HttpClient caller,
             List<String> controllers,
             Map<String, String> addressByName,
-            FakeCloud.Rented machine,
+            FakeCloud.RentedMachine machine,
             String address,
             TaskBehavior behavior,
             long heartbeatMicros,
@@ -64,7 +64,7 @@
         return "worker-" + machine + ":9000";
     }
 
-    public FakeCloud.Rented machine() {
+    public FakeCloud.RentedMachine machine() {
         return machine;
     }
 
@@ -143,7 +143,7 @@
         }
     }
 
-    public void die() {
+    public void kill() {
         alive = false;
         tasks.dropAll();
     }
@@ -214,8 +214,8 @@
     }
 
     /** How many messages came to it directly and were carried out. */
-    public int directOrders() {
-        return directOrders;
+    public int directCommands() {
+        return directCommands;
     }
 
     private Map<String, Object> heartbeat() {
@@ -257,7 +257,7 @@
             return;
         }
         fencingToken = Json.integer(body, "torch", 0);
-        directOrders++;
+        directCommands++;
         tasks.carryOut(Json.list(body.get("orders")));
         reply.send(200, heartbeat());
     }
--- a/src/test/java/org/weldcourse/simulation/LoopbackCluster.java
+++ b/src/test/java/org/weldcourse/simulation/LoopbackCluster.java
@@ -40,7 +40,7 @@
     private final EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
     private final FakeClock time = new FakeClock();
     private final List<Settings.Team> teams;
-    private final ClusterInvariants rules;
+    private final ClusterInvariants invariants;
     private final FakeStore state;
     private final FakeCloud cloud;
     private final Map<String, FakeWorker> workers = new HashMap<>();
@@ -78,7 +78,7 @@
         this.directory = directory;
         this.options = options;
         faults = new NetworkFaults(time);
-        rules = new ClusterInvariants(time, teams, CANCEL_MICROS);
+        invariants = new ClusterInvariants(time, teams, CANCEL_MICROS);
         state = new FakeStore(time, TXN_OPS, VALUE_BYTES);
         cloud = new FakeCloud(time, BOOT_MICROS, this::machineUp, this::machineGone);
         cloud.capacity = machines;
@@ -93,8 +93,8 @@
             String name = "n" + i;
             apiPorts.put(name, DeployedProgram.freePort());
             peerPorts.put(name, DeployedProgram.freePort());
-            statePorts.put(name, serve(faults.towards(name, NetworkFaults.STATE, state)));
-            cloudPorts.put(name, serve(faults.towards(name, NetworkFaults.CLOUD, cloud)));
+            statePorts.put(name, serve(faults.wrapHandler(name, NetworkFaults.STATE, state)));
+            cloudPorts.put(name, serve(faults.wrapHandler(name, NetworkFaults.CLOUD, cloud)));
         }
         for (String from : apiPorts.keySet()) {
             for (String to : apiPorts.keySet()) {
@@ -123,7 +123,7 @@
         long micros = (nowNanos - tickedNanos) / 1_000;
         tickedNanos += micros * 1_000;
         watch(() -> time.pass(micros));
-        watch(rules::checkCancelled);
+        watch(invariants::checkCancelled);
     }
 
     private void watch(Runnable work) {
@@ -144,21 +144,21 @@
     }
 
     /** Runs on the stand-ins' event loop and hands back what came of it. */
-    public <T> T on(Supplier<T> work) throws Exception {
+    public <T> T callOnEventLoop(Supplier<T> work) throws Exception {
         return CompletableFuture.supplyAsync(work, loop).get(30, TimeUnit.SECONDS);
     }
 
     /** Keeps a rule that breaks in this, which runs on the event loop already. */
-    public void guarded(Runnable work) {
+    public void recordFailure(Runnable work) {
         watch(work);
     }
 
     /** Runs on the stand-ins' event loop; a rule that breaks there is kept. */
-    public void tell(Runnable work) {
+    public void runOnEventLoop(Runnable work) {
         loop.execute(() -> watch(work));
     }
 
-    private void machineUp(FakeCloud.Rented rented) {
+    private void machineUp(FakeCloud.RentedMachine rented) {
         WorkerAddress address = freeAddresses.poll();
         if (address == null) {
             return;
@@ -167,15 +167,15 @@
         apiPorts.forEach((name, port) -> addressByName.put(name, HOST + ":" + port));
         FakeWorker worker = new FakeWorker(
                 time,
-                faults.from(rented.name(), new NettyHttpClient(loop, () -> 1), nameByAddress()),
+                faults.wrapClient(rented.name(), new NettyHttpClient(loop, () -> 1), nameByAddress()),
                 new ArrayList<>(addressByName.values()),
                 addressByName,
                 rented,
                 address.address,
-                rules,
+                invariants,
                 HEARTBEAT_MICROS,
                 LEASE_MICROS);
-        address.handler = faults.towards(NetworkFaults.ANYBODY, rented.name(), worker);
+        address.handler = faults.wrapHandler(NetworkFaults.ANY_ENDPOINT, rented.name(), worker);
         addresses.put(rented.name(), address);
         workers.put(rented.name(), worker);
     }
@@ -192,15 +192,15 @@
     }
 
     /** The machine loses its power, and the cloud lists it on. */
-    public void loseMachine(String name) {
-        workers.remove(name).die();
+    public void powerOffMachine(String name) {
+        workers.remove(name).kill();
         addresses.get(name).handler = (request, reply) -> {};
     }
 
     /** The machine is back from one moment to the next, empty. */
     public void restartMachine(String name) {
         FakeWorker worker = workers.remove(name);
-        worker.die();
+        worker.kill();
         freeAddresses.addFirst(addresses.remove(name));
         machineUp(worker.machine());
     }
@@ -219,14 +219,14 @@
     }
 
     /** A caller on the stand-ins' event loop. */
-    public NettyHttpClient caller() {
+    public NettyHttpClient client() {
         return new NettyHttpClient(loop, () -> 4);
     }
 
     private void machineGone(String name) {
         FakeWorker worker = workers.remove(name);
         if (worker != null) {
-            worker.die();
+            worker.kill();
         }
         WorkerAddress address = addresses.remove(name);
         if (address != null) {
@@ -292,7 +292,7 @@
 
     /** The controller that leads by the records, or null. */
     public String leader() throws Exception {
-        return on(() -> {
+        return callOnEventLoop(() -> {
             Map<String, Object> leader = state.value("leader");
             return leader == null ? null : (String) leader.get("name");
         });
@@ -345,8 +345,8 @@
         return state;
     }
 
-    public ClusterInvariants rules() {
-        return rules;
+    public ClusterInvariants invariants() {
+        return invariants;
     }
 
     private void endProcesses() {
--- a/src/test/java/org/weldcourse/simulation/NetworkFaults.java
+++ b/src/test/java/org/weldcourse/simulation/NetworkFaults.java
@@ -20,7 +20,7 @@
     public static final String STATE = "state";
     public static final String CLOUD = "cloud";
     /** Stands for a caller that can't be told from others. */
-    public static final String ANYBODY = "anybody";
+    public static final String ANY_ENDPOINT = "anybody";
 
     private static final long LEAST_LATE_MICROS = 2_000_000;
     private static final int MOST_MORE_LATE_MICROS = 10_000_000;
@@ -91,22 +91,22 @@
     }
 
     /** Each message takes so much longer. */
-    public void slow(String from, String to, long micros) {
+    public void setLatency(String from, String to, long micros) {
         slowMicros.put(link(from, to), micros);
     }
 
     /** Of this share of the messages the answer gets lost. */
-    public void loseAnswers(String from, String to, double share) {
+    public void loseResponses(String from, String to, double share) {
         lostAnswerShares.put(link(from, to), share);
     }
 
     /** This share of the messages is carried out late, and never answered. */
-    public void late(String from, String to, double share) {
+    public void executeLate(String from, String to, double share) {
         lateShares.put(link(from, to), share);
     }
 
     /** This share of the messages comes again some seconds later. */
-    public void repeat(String from, String to, double share) {
+    public void duplicate(String from, String to, double share) {
         repeatShares.put(link(from, to), share);
     }
 
@@ -140,7 +140,7 @@
     }
 
     /** A handler as this caller finds it. */
-    public Server.Handler towards(String from, String to, Server.Handler handler) {
+    public Server.Handler wrapHandler(String from, String to, Server.Handler handler) {
         String way = link(from, to);
         return (request, reply) -> {
             if (cuts.contains(way)) {
@@ -181,21 +181,21 @@
     }
 
     /** A caller as it reaches the ends with these addresses. */
-    public HttpClient from(String from, HttpClient caller, Map<String, String> nameByAddress) {
+    public HttpClient wrapClient(String from, HttpClient caller, Map<String, String> nameByAddress) {
         return (call, done) -> {
             String to = nameByAddress.getOrDefault(call.address(), call.address());
             boolean[] ended = new boolean[1];
             time.after(call.timeoutMicros(), () -> finish(ended, done, HttpClient.Response.NO_RESPONSE));
-            if (cuts.contains(link(from, to)) || cuts.contains(link(from, ANYBODY))) {
+            if (cuts.contains(link(from, to)) || cuts.contains(link(from, ANY_ENDPOINT))) {
                 count(Effect.REQUEST_CUT);
                 return;
             }
-            if (happens(repeatShares, link(from, ANYBODY))) {
+            if (happens(repeatShares, link(from, ANY_ENDPOINT))) {
                 count(Effect.REPEATED);
                 time.after(lateMicros(), () -> caller.call(copy(call), answer -> {}));
             }
             caller.call(call, answer -> {
-                if (cuts.contains(link(to, from)) || cuts.contains(link(ANYBODY, from))) {
+                if (cuts.contains(link(to, from)) || cuts.contains(link(ANY_ENDPOINT, from))) {
                     count(Effect.ANSWER_CUT);
                 } else {
                     finish(ended, done, answer);
--- a/src/test/java/org/weldcourse/simulation/SimulatedCluster.java
+++ b/src/test/java/org/weldcourse/simulation/SimulatedCluster.java
@@ -27,7 +27,7 @@
     static final String CLOUD = "cloud:1";
 
     public final FakeClock clock = new FakeClock();
-    private final ClusterInvariants rules;
+    private final ClusterInvariants invariants;
     public final Map<String, Integer> starts;
     public final Map<String, Map<String, Object>> jobs;
     public final Map<String, Long> runMicros;
@@ -36,7 +36,7 @@
     public final FakeCloud cloud;
     public final Map<String, FakeWorker> workers = new LinkedHashMap<>();
 
-    private int answers;
+    private int pollResponses;
     private final SimulatedControllers controllers;
 
     public SimulatedCluster(int nodes) {
@@ -95,10 +95,10 @@
             List<Settings.ServiceLevelObjective> objectives,
             Settings.UpcomingStoreLimits next,
             OperatorSettings operatorSettings) {
-        rules = new ClusterInvariants(clock, teams, CANCEL_MICROS);
-        starts = rules.starts;
-        jobs = rules.jobs;
-        runMicros = rules.runMicros;
+        invariants = new ClusterInvariants(clock, teams, CANCEL_MICROS);
+        starts = invariants.starts;
+        jobs = invariants.jobs;
+        runMicros = invariants.runMicros;
         store = new FakeStore(clock, txnOps, valueBytes);
         cloud = new FakeCloud(clock, 5_000_000, this::machineUp, this::machineGone);
         network.host(STORE, store);
@@ -138,11 +138,11 @@
     }
 
     /** The process stands still while its clock runs on; whatever comes for it meanwhile waits. */
-    public void freezeNode(String name) {
+    public void pauseNode(String name) {
         controllers.process(name).pause();
     }
 
-    public void thawNode(String name) {
+    public void resumeNode(String name) {
         controllers.process(name).resume();
     }
 
@@ -155,7 +155,7 @@
         network.cut(name, STORE);
     }
 
-    public void healToStore(String name) {
+    public void healStoreLink(String name) {
         network.heal(name, STORE);
     }
 
@@ -165,24 +165,24 @@
     }
 
     public void slowStore(long micros) {
-        network.slow(STORE, micros);
+        network.setLatency(STORE, micros);
     }
 
     /** The machine reaches no controller, while direct commands reach it. */
-    public void mute(String machine) {
+    public void cutHeartbeats(String machine) {
         controllers.addressByName().values().forEach(address -> network.cut(machine, address));
     }
 
-    /** Lifts what {@link #mute} and {@link #deafen} did. */
+    /** Lifts what {@link #cutHeartbeats} and {@link #cutResponsesAndCommands} did. */
     public void heal(String machine) {
-        network.loseAnswers(machine, false);
+        network.loseResponses(machine, false);
         controllers.addressByName().forEach((node, address) -> {
             network.heal(machine, address);
             network.heal(node, FakeWorker.address(machine));
         });
     }
 
-    public void healToPeers(String name) {
+    public void healPeerLinks(String name) {
         controllers.healToPeers(name);
     }
 
@@ -201,13 +201,13 @@
     }
 
     /** The machine's heartbeats arrive, but neither answers nor commands reach it. */
-    public void deafen(String machine) {
-        network.loseAnswers(machine, true);
+    public void cutResponsesAndCommands(String machine) {
+        network.loseResponses(machine, true);
         controllers.addressByName().keySet().forEach(node -> network.cut(node, FakeWorker.address(machine)));
     }
 
-    public void loseAnswers(String name, boolean lose) {
-        network.loseAnswers(name, lose);
+    public void loseResponses(String name, boolean lose) {
+        network.loseResponses(name, lose);
     }
 
     public String leader() {
@@ -222,15 +222,15 @@
         return controllers.settings(name);
     }
 
-    private void machineUp(FakeCloud.Rented rented) {
+    private void machineUp(FakeCloud.RentedMachine rented) {
         FakeWorker worker = new FakeWorker(
                 clock,
-                network.caller(rented.name()),
+                network.client(rented.name()),
                 new ArrayList<>(controllers.addressByName().values()),
                 controllers.addressByName(),
                 rented,
                 FakeWorker.address(rented.name()),
-                rules,
+                invariants,
                 HEARTBEAT_MICROS,
                 LEASE_MICROS);
         workers.put(rented.name(), worker);
@@ -240,14 +240,14 @@
     /** The machine is back from one moment to the next, empty, and counts its heartbeats from one again. */
     public void restartMachine(String name) {
         FakeWorker worker = workers.remove(name);
-        worker.die();
+        worker.kill();
         machineUp(worker.machine());
     }
 
     private void machineGone(String name) {
         FakeWorker worker = workers.remove(name);
         if (worker != null) {
-            worker.die();
+            worker.kill();
             network.remove(FakeWorker.address(name));
         }
     }
@@ -255,59 +255,63 @@
     // Users
 
     /** What a user was answered. */
-    public record Answer(int status, Map<String, Object> body, int retryAfterSeconds) {
+    public record ApiResponse(int status, Map<String, Object> body, int retryAfterSeconds) {
         public String state() {
             return Json.text(body, "heat");
         }
     }
 
-    public Answer submit(String node, Map<String, Object> job) {
+    public ApiResponse submit(String node, Map<String, Object> job) {
         String id = Json.text(job, "name_id");
         jobs.put(id, Json.objectOrEmpty(Json.bytes(job)));
-        return checkAnswer(id, rules.lastTold(id), ask(node, "POST", "/v1/jobs", Json.bytes(job)));
+        return checkAnswer(id, invariants.lastReportedState(id), request(node, "POST", "/v1/jobs", Json.bytes(job)));
     }
 
-    public Answer poll(String node, String id) {
-        return checkAnswer(id, rules.lastTold(id), ask(node, "GET", "/v1/jobs/" + id, new byte[0]));
+    public ApiResponse poll(String node, String id) {
+        return checkAnswer(id, invariants.lastReportedState(id), request(node, "GET", "/v1/jobs/" + id, new byte[0]));
     }
 
-    public Answer cancel(String node, String id) {
-        return checkAnswer(id, rules.lastTold(id), ask(node, "POST", "/v1/jobs/" + id + "/withdraw", new byte[0]));
+    public ApiResponse cancel(String node, String id) {
+        return checkAnswer(
+                id,
+                invariants.lastReportedState(id),
+                request(node, "POST", "/v1/jobs/" + id + "/withdraw", new byte[0]));
     }
 
     /** Submits without waiting for the answer. */
-    public void submitSoon(String node, Map<String, Object> job, Consumer<Answer> then) {
+    public void submitAsync(String node, Map<String, Object> job, Consumer<ApiResponse> then) {
         String id = Json.text(job, "name_id");
-        String before = rules.lastTold(id);
+        String before = invariants.lastReportedState(id);
         jobs.put(id, Json.objectOrEmpty(Json.bytes(job)));
         sendSoon(node, "POST", "/v1/jobs", Json.bytes(job), answer -> then.accept(checkAnswer(id, before, answer)));
     }
 
     /** Asks for the cancellation of a job without waiting for the answer. */
-    public void cancelSoon(String node, String id) {
-        String before = rules.lastTold(id);
+    public void cancelAsync(String node, String id) {
+        String before = invariants.lastReportedState(id);
         String path = "/v1/jobs/" + id + "/withdraw";
         sendSoon(node, "POST", path, new byte[0], answer -> checkAnswer(id, before, answer));
     }
 
     /** Sends something to a node without heeding the answer. */
-    public void tellSoon(String node, String path, Map<String, Object> body) {
+    public void postAsync(String node, String path, Map<String, Object> body) {
         sendSoon(node, "POST", path, Json.bytes(body), answer -> {});
     }
 
     /** A paused process gets it when it goes on. */
-    private void sendSoon(String node, String method, String path, byte[] body, Consumer<Answer> then) {
+    private void sendSoon(String node, String method, String path, byte[] body, Consumer<ApiResponse> then) {
         Controller controller = controllers.get(node);
         controllers.process(node).run(() -> handle(controller, method, path, body, then));
     }
 
-    private static void handle(Controller controller, String method, String path, byte[] body, Consumer<Answer> then) {
+    private static void handle(
+            Controller controller, String method, String path, byte[] body, Consumer<ApiResponse> then) {
         controller
                 .requestHandler()
                 .handle(
                         new Server.Request(method, path, body),
                         (status, answer, retryAfterSeconds) -> then.accept(
-                                new Answer(status, Json.objectOrEmpty(Json.bytes(answer)), retryAfterSeconds)));
+                                new ApiResponse(status, Json.objectOrEmpty(Json.bytes(answer)), retryAfterSeconds)));
     }
 
     /** How often a record of what may still be on machines was written. */
@@ -316,72 +320,72 @@
     }
 
     /** A client of the state service that is no controller. */
-    public Store storeOf(String client) {
-        return new Store(network.caller(client), clock, STORE);
+    public Store storeClient(String client) {
+        return new Store(network.client(client), clock, STORE);
     }
 
     /** Asks without waiting; what it hears is held against what was told before it asked. */
-    public void pollSoon(String node, String id) {
-        String before = rules.lastTold(id);
+    public void pollAsync(String node, String id) {
+        String before = invariants.lastReportedState(id);
         handle(controllers.get(node), "GET", "/v1/jobs/" + id, new byte[0], answer -> {
             checkAnswer(id, before, answer);
-            answers++;
+            pollResponses++;
         });
     }
 
     /** How many questions that were asked without waiting have been answered. */
-    public int answers() {
-        return answers;
+    public int pollResponses() {
+        return pollResponses;
     }
 
     /** Whether the task is done; all tasks of a gang are with whichever of them is the first. */
-    public boolean isOver(String id, int task) {
-        return rules.isOver(id, task);
+    public boolean isTaskDone(String id, int task) {
+        return invariants.isTaskDone(id, task);
     }
 
     /** A job that was accepted, and partly done, before this world began: its record holds the user's words. */
-    public void adopt(Map<String, Object> record, BitSet done) {
-        rules.adopt(record, done);
+    public void addExistingJob(Map<String, Object> record, BitSet done) {
+        invariants.addExistingJob(record, done);
     }
 
-    private Answer checkAnswer(String id, String before, Answer answer) {
-        return rules.checkAnswer(id, before, answer);
+    private ApiResponse checkAnswer(String id, String before, ApiResponse answer) {
+        return invariants.checkResponse(id, before, answer);
     }
 
     /** Fails when a task of a cancelled job is still somewhere after the time that the rules allow. */
     public void checkCancelled() {
-        rules.checkCancelled();
+        invariants.checkCancelled();
     }
 
     public FakeWorker workerOf(String task) {
-        return rules.workerOf(task);
+        return invariants.workerOf(task);
     }
 
     public int startsAfterCancellation() {
-        return rules.startsAfterCancellation();
+        return invariants.startsAfterCancellation();
     }
 
     public boolean hasCompleted(String task) {
-        return rules.hasCompleted(task);
+        return invariants.hasCompleted(task);
     }
 
     public int runningTasks() {
-        return rules.runningTasks();
+        return invariants.runningTasks();
     }
 
     /** The rules that this world watches. */
-    public ClusterInvariants rules() {
-        return rules;
+    public ClusterInvariants invariants() {
+        return invariants;
     }
 
     /** Asks a node and lets time pass until it answers, for five seconds at most; status 0: no answer. */
-    public Answer ask(String node, String method, String path, byte[] body) {
-        Answer[] answer = new Answer[1];
+    public ApiResponse request(String node, String method, String path, byte[] body) {
+        ApiResponse[] answer = new ApiResponse[1];
         handle(controllers.get(node), method, path, body, got -> answer[0] = got);
         for (int i = 0; i < 500 && answer[0] == null; i++) {
             clock.pass(10_000);
         }
-        return answer[0] == null ? new Answer(0, Map.of(), 0) : answer[0];
+        return answer[0] == null ? new ApiResponse(0, Map.of(), 0) : answer[0];
     }
 
     /** Lets time pass until the job has this state, and returns whether it came to that. */
--- a/src/test/java/org/weldcourse/soak/SoakFaults.java
+++ b/src/test/java/org/weldcourse/soak/SoakFaults.java
@@ -65,7 +65,8 @@
             case LEADER_PAUSED -> leader != null && pause(leader, endMillis);
             case PEERS_CUT_ONE_WAY, PEERS_CUT, LEADER_CUT_FROM_STATE_AND_PEERS, NODE_CUT_FROM_WORKERS ->
                 isolate(event, leader == null ? node : leader, node, endMillis);
-            case RUNNING_JOBS_CANCELLED -> cluster.on(() -> users.cancelSome(JOBS_CANCELLED, event.choice())) > 0;
+            case RUNNING_JOBS_CANCELLED ->
+                cluster.callOnEventLoop(() -> users.cancelSome(JOBS_CANCELLED, event.choice())) > 0;
             case MACHINES_HANG, MACHINES_DEAF, MACHINES_MUTE, MACHINES_LOST, MACHINES_BACK_AT_ONCE ->
                 onMachines(event, endMillis);
             default -> onLinks(event, node, endMillis);
@@ -79,7 +80,7 @@
     private void laterOnLoop(long atMillis, Runnable work) {
         later(
                 atMillis,
-                () -> cluster.on(() -> {
+                () -> cluster.callOnEventLoop(() -> {
                     work.run();
                     return null;
                 }));
@@ -135,7 +136,7 @@
     }
 
     private boolean isolate(FaultSchedule.Event event, String leader, String node, long endMillis) throws Exception {
-        cluster.on(() -> {
+        cluster.callOnEventLoop(() -> {
             List<String[]> cuts = new ArrayList<>();
             for (String other : cluster.names()) {
                 switch (event.fault()) {
@@ -160,7 +161,7 @@
     }
 
     private boolean onLinks(FaultSchedule.Event event, String node, long endMillis) throws Exception {
-        return cluster.on(() -> {
+        return cluster.callOnEventLoop(() -> {
             switch (event.fault()) {
                 case STATE_CUT_ONE_WAY -> {
                     network.cut(NetworkFaults.STATE, node);
@@ -195,16 +196,16 @@
         for (String node : cluster.names()) {
             switch (event.fault()) {
                 case STATE_SLOW -> {
-                    network.slow(node, NetworkFaults.STATE, slowMicros);
-                    laterOnLoop(endMillis, () -> network.slow(node, NetworkFaults.STATE, 0));
+                    network.setLatency(node, NetworkFaults.STATE, slowMicros);
+                    laterOnLoop(endMillis, () -> network.setLatency(node, NetworkFaults.STATE, 0));
                 }
                 case STATE_LOSES_ANSWERS -> {
-                    network.loseAnswers(node, NetworkFaults.STATE, SHARE);
-                    laterOnLoop(endMillis, () -> network.loseAnswers(node, NetworkFaults.STATE, 0));
+                    network.loseResponses(node, NetworkFaults.STATE, SHARE);
+                    laterOnLoop(endMillis, () -> network.loseResponses(node, NetworkFaults.STATE, 0));
                 }
                 case STATE_WRITES_LATE -> {
-                    network.late(node, NetworkFaults.STATE, SHARE);
-                    laterOnLoop(endMillis, () -> network.late(node, NetworkFaults.STATE, 0));
+                    network.executeLate(node, NetworkFaults.STATE, SHARE);
+                    laterOnLoop(endMillis, () -> network.executeLate(node, NetworkFaults.STATE, 0));
                 }
                 default -> throw new IllegalStateException(event.fault().name());
             }
@@ -213,20 +214,20 @@
 
     private void shareOfReports(long endMillis) {
         for (String machine : cluster.workers().keySet()) {
-            network.repeat(machine, NetworkFaults.ANYBODY, SHARE_OF_REPORTS);
-            laterOnLoop(endMillis, () -> network.repeat(machine, NetworkFaults.ANYBODY, 0));
+            network.duplicate(machine, NetworkFaults.ANY_ENDPOINT, SHARE_OF_REPORTS);
+            laterOnLoop(endMillis, () -> network.duplicate(machine, NetworkFaults.ANY_ENDPOINT, 0));
         }
     }
 
     private void shareOfCommands(long endMillis) {
         for (String machine : cluster.workers().keySet()) {
-            network.late(NetworkFaults.ANYBODY, machine, SHARE_OF_REPORTS);
-            laterOnLoop(endMillis, () -> network.late(NetworkFaults.ANYBODY, machine, 0));
+            network.executeLate(NetworkFaults.ANY_ENDPOINT, machine, SHARE_OF_REPORTS);
+            laterOnLoop(endMillis, () -> network.executeLate(NetworkFaults.ANY_ENDPOINT, machine, 0));
         }
     }
 
     private boolean onMachines(FaultSchedule.Event event, long endMillis) throws Exception {
-        return cluster.on(() -> {
+        return cluster.callOnEventLoop(() -> {
             List<String> names = new ArrayList<>(cluster.workers().keySet());
             names.sort(Comparator.naturalOrder());
             int count = Math.min(names.size(), 1 + event.choice() % MOST_MACHINES);
@@ -245,14 +246,14 @@
                 laterOnLoop(endMillis, () -> worker.freeze(false));
             }
             case MACHINES_DEAF -> {
-                network.cut(NetworkFaults.ANYBODY, machine);
-                laterOnLoop(endMillis, () -> network.heal(NetworkFaults.ANYBODY, machine));
+                network.cut(NetworkFaults.ANY_ENDPOINT, machine);
+                laterOnLoop(endMillis, () -> network.heal(NetworkFaults.ANY_ENDPOINT, machine));
             }
             case MACHINES_MUTE -> {
-                network.cut(machine, NetworkFaults.ANYBODY);
-                laterOnLoop(endMillis, () -> network.heal(machine, NetworkFaults.ANYBODY));
+                network.cut(machine, NetworkFaults.ANY_ENDPOINT);
+                laterOnLoop(endMillis, () -> network.heal(machine, NetworkFaults.ANY_ENDPOINT));
             }
-            case MACHINES_LOST -> cluster.loseMachine(machine);
+            case MACHINES_LOST -> cluster.powerOffMachine(machine);
             default -> cluster.restartMachine(machine);
         }
     }
--- a/src/test/java/org/weldcourse/soak/SoakRun.java
+++ b/src/test/java/org/weldcourse/soak/SoakRun.java
@@ -83,19 +83,19 @@
     }
 
     private void playFaults() throws Exception {
-        cluster.on(() -> {
+        cluster.callOnEventLoop(() -> {
             cluster.faults().seed(seed);
             if (settings.machines() >= LARGE_FLEET) {
                 rentAll();
             }
-            cluster.rules().alsoOnStart((task, attempt) -> note("start of " + task + " attempt " + attempt));
+            cluster.invariants().addStartListener((task, attempt) -> note("start of " + task + " attempt " + attempt));
             return null;
         });
         for (String name : cluster.names()) {
             cluster.start(name);
         }
         awaitControllers();
-        users = cluster.on(() -> {
+        users = cluster.callOnEventLoop(() -> {
             SoakUsers made = new SoakUsers(cluster, TEAMS, seed, OPEN_JOBS);
             made.begin();
             return made;
@@ -153,13 +153,13 @@
     /** Troubles are over: every accepted job ends, and every question is answered. */
     private void comeToRest() throws Exception {
         note("peace");
-        cluster.on(() -> {
+        cluster.callOnEventLoop(() -> {
             cluster.faults().healAll();
             return null;
         });
         // Users go on for a while, so that a service that has stopped serving shows.
         Thread.sleep(WARM_UP_MILLIS);
-        long quietMicros = cluster.on(() -> {
+        long quietMicros = cluster.callOnEventLoop(() -> {
             users.stopSubmitting();
             return cluster.time().nowMicros();
         });
@@ -167,21 +167,21 @@
         int before = -1;
         while (true) {
             cluster.throwFailure();
-            List<String> left = cluster.on(users::unfinished);
+            List<String> left = cluster.callOnEventLoop(users::unfinished);
             if (left.isEmpty()) {
                 break;
             }
-            cluster.on(() -> {
+            cluster.callOnEventLoop(() -> {
                 checkAnswered(left, quietMicros);
                 return null;
             });
-            int now = cluster.on(() -> cluster.rules().starts.size() * 1_000 - left.size());
+            int now = cluster.callOnEventLoop(() -> cluster.invariants().starts.size() * 1_000 - left.size());
             if (now != before) {
                 before = now;
                 movedMillis = System.currentTimeMillis();
             } else if (System.currentTimeMillis() - movedMillis > MOST_IDLE_MILLIS) {
                 throw new AssertionError("neither run nor end: " + left + " records "
-                        + cluster.on(() -> cluster.state().keys("")));
+                        + cluster.callOnEventLoop(() -> cluster.state().keys("")));
             }
             Thread.sleep(300);
         }
@@ -203,7 +203,7 @@
         if (happened.isEmpty()) {
             throw new AssertionError("no fault took effect");
         }
-        if (cluster.on(() -> cluster.rules().starts.isEmpty())) {
+        if (cluster.callOnEventLoop(() -> cluster.invariants().starts.isEmpty())) {
             throw new AssertionError("nothing_ran");
         }
     }
@@ -220,10 +220,11 @@
     /** Nothing stays on record that no leader would ever take away. */
     private void awaitCleanRecords() throws Exception {
         long untilMillis = System.currentTimeMillis() + MOST_IDLE_MILLIS;
-        while (!cluster.on(() -> cluster.state().keys("outstanding/").isEmpty())) {
+        while (!cluster.callOnEventLoop(
+                () -> cluster.state().keys("outstanding/").isEmpty())) {
             if (System.currentTimeMillis() > untilMillis) {
-                throw new AssertionError(
-                        "left on record: " + cluster.on(() -> cluster.state().keys("outstanding/")));
+                throw new AssertionError("left on record: "
+                        + cluster.callOnEventLoop(() -> cluster.state().keys("outstanding/")));
             }
             Thread.sleep(300);
         }
@@ -249,13 +250,13 @@
     }
 
     private SoakReport report(Throwable failure) throws Exception {
-        return cluster.on(() -> new SoakReport(
+        return cluster.callOnEventLoop(() -> new SoakReport(
                 seed,
                 failure,
                 users == null ? 0 : users.submitted(),
                 users == null ? 0 : users.accepted().size(),
                 users == null ? 0 : users.answers(),
-                cluster.rules().starts.values().stream()
+                cluster.invariants().starts.values().stream()
                         .mapToInt(Integer::intValue)
                         .sum(),
                 Map.copyOf(happened),
--- a/src/test/java/org/weldcourse/soak/SoakUsers.java
+++ b/src/test/java/org/weldcourse/soak/SoakUsers.java
@@ -13,7 +13,7 @@
 import org.weldcourse.simulation.ClusterInvariants;
 import org.weldcourse.simulation.LoopbackCluster;
 import org.weldcourse.simulation.RandomJob;
-import org.weldcourse.simulation.SimulatedCluster.Answer;
+import org.weldcourse.simulation.SimulatedCluster.ApiResponse;
 
 /**
  * Users who submit, repeat, cancel and ask at all nodes, on the stand-ins' event loop. What they hear is held against what
@@ -43,8 +43,8 @@
 
     SoakUsers(LoopbackCluster cluster, List<Settings.Team> teams, long seed, int mostOpen) {
         this.cluster = cluster;
-        this.rules = cluster.rules();
-        this.caller = cluster.caller();
+        this.rules = cluster.invariants();
+        this.caller = cluster.client();
         this.teams = teams.stream().map(Settings.Team::name).toList();
         this.random = new Random(seed);
         this.mostOpen = mostOpen;
@@ -134,7 +134,7 @@
     }
 
     private void submit(String id, int tries) {
-        String before = rules.lastTold(id);
+        String before = rules.lastReportedState(id);
         HttpClient.Call call = new HttpClient.Call(
                 cluster.api(node()),
                 "POST",
@@ -143,7 +143,7 @@
                 SUBMIT_TIMEOUT_MICROS);
         caller.call(
                 call,
-                answer -> cluster.guarded(() -> {
+                answer -> cluster.recordFailure(() -> {
                     heard(id, before, answer);
                     if (answer.ok() || answer.status() == CREATED) {
                         accepted.add(id);
@@ -158,7 +158,7 @@
             return;
         }
         cancelAsked.add(id);
-        String before = rules.lastTold(id);
+        String before = rules.lastReportedState(id);
         ask(node(), "POST", "/v1/jobs/" + id + "/withdraw", SUBMIT_TIMEOUT_MICROS, answer -> {
             heard(id, before, answer);
             if (!answer.ok()) {
@@ -168,13 +168,13 @@
     }
 
     private void poll(String node, String id) {
-        String before = rules.lastTold(id);
+        String before = rules.lastReportedState(id);
         ask(node, "GET", "/v1/jobs/" + id, POLL_TIMEOUT_MICROS, answer -> heard(id, before, answer));
     }
 
     private void ask(String node, String method, String path, long timeoutMicros, HttpClient.Callback done) {
         HttpClient.Call call = new HttpClient.Call(cluster.api(node), method, path, null, timeoutMicros);
-        caller.call(call, answer -> cluster.guarded(() -> done.accept(answer)));
+        caller.call(call, answer -> cluster.recordFailure(() -> done.accept(answer)));
     }
 
     private void heard(String id, String before, HttpClient.Response answer) {
@@ -185,8 +185,8 @@
         if (answer.ok() || answer.status() == CREATED) {
             answeredMicros.put(id, cluster.time().nowMicros());
         }
-        Answer told = new Answer(answer.status(), answer.body(), 0);
-        rules.checkAnswer(id, before, told);
+        ApiResponse told = new ApiResponse(answer.status(), answer.body(), 0);
+        rules.checkResponse(id, before, told);
         boolean isOver = "done".equals(told.state()) || "cancelled".equals(told.state());
         if (answer.ok() && isOver) {
             if ("cancelled".equals(told.state()) && !cancelAsked.contains(id)) {
