--- a/src/test/java/org/weldcourse/app/AutoscalerTest.java
+++ b/src/test/java/org/weldcourse/app/AutoscalerTest.java
@@ -12,19 +12,19 @@
     /** Until the workers have reported to it, a new leader sees machines of unknown size that it can't count on. */
     @Test
     void newLeaderDoesNotRentAgainForWorkThatRuns() {
-        SimulatedCluster world = SimulatedCluster.settled(3);
+        SimulatedCluster cluster = SimulatedCluster.settled(3);
         for (int job = 0; job < 8; job++) {
             String id = String.format("req-%06d", job + 1);
-            world.runMicros.put(id, 8_000_000L);
-            assertEquals(201, world.submit("n0", jobBody(id, "beads", 40)).status());
+            cluster.runMicros.put(id, 8_000_000L);
+            assertEquals(201, cluster.submit("n0", jobBody(id, "beads", 40)).status());
         }
-        world.clock.passSeconds(14);
-        int running = world.runningTasks();
+        cluster.clock.passSeconds(14);
+        int running = cluster.runningTasks();
         assertTrue(running >= 20, "running: " + running);
-        int made = world.cloud.machinesCreated();
-        world.killNode(world.leader());
-        world.clock.passSeconds(9);
-        assertTrue(world.runningTasks() >= running / 2);
-        assertTrue(world.cloud.machinesCreated() <= made + 2, "rented anew: " + (world.cloud.machinesCreated() - made));
+        int made = cluster.cloud.machinesCreated();
+        cluster.killNode(cluster.leader());
+        cluster.clock.passSeconds(9);
+        assertTrue(cluster.runningTasks() >= running / 2);
+        assertTrue(cluster.cloud.machinesCreated() <= made + 2, "rented anew: " + (cluster.cloud.machinesCreated() - made));
     }
 }
--- a/src/test/java/org/weldcourse/app/CostTest.java
+++ b/src/test/java/org/weldcourse/app/CostTest.java
@@ -16,16 +16,16 @@
 
     /** What all three nodes ask of the state service in some idle seconds, with so many machines that report all the while. */
     private static Cost idle(int machines) {
-        SimulatedCluster world = SimulatedCluster.settled(3);
+        SimulatedCluster cluster = SimulatedCluster.settled(3);
         for (int i = 0; i < machines; i++) {
-            world.cloud.addUnrequested("large", "a", false);
+            cluster.cloud.addUnrequested("large", "a", false);
         }
-        world.clock.passSeconds(12);
-        int requests = world.store.requests();
-        int writes = world.store.writes();
-        int known = world.workers.size();
-        world.clock.passSeconds(SECONDS);
-        return new Cost(world.store.requests() - requests, world.store.writes() - writes, known);
+        cluster.clock.passSeconds(12);
+        int requests = cluster.store.requests();
+        int writes = cluster.store.writes();
+        int known = cluster.workers.size();
+        cluster.clock.passSeconds(SECONDS);
+        return new Cost(cluster.store.requests() - requests, cluster.store.writes() - writes, known);
     }
 
     @Test
@@ -42,22 +42,22 @@
 
     @Test
     void aHundredQuestionsAreOneReadOfTheChanges() {
-        SimulatedCluster world = SimulatedCluster.settled(1);
-        world.submit("n0", JobBodies.jobBody("req-000001", "cpus", 8.0));
-        assertEquals(200, world.poll("n0", "req-000001").status());
-        world.clock.passSeconds(2);
-        int before = world.store.requests();
+        SimulatedCluster cluster = SimulatedCluster.settled(1);
+        cluster.submit("n0", JobBodies.jobBody("req-000001", "cpus", 8.0));
+        assertEquals(200, cluster.poll("n0", "req-000001").status());
+        cluster.clock.passSeconds(2);
+        int before = cluster.store.requests();
         int[] answered = new int[1];
         for (int i = 0; i < 100; i++) {
-            world.controller("n0")
+            cluster.controller("n0")
                     .requestHandler()
                     .handle(
                             new Server.Request("GET", "/v1/jobs/req-000001", new byte[0]),
                             (status, body, retryAfterSeconds) -> answered[0] += status == 200 ? 1 : 0);
         }
-        world.clock.pass(100_000);
+        cluster.clock.pass(100_000);
         assertEquals(100, answered[0]);
         // One read of the jobs, one of the admissions, and what a leader asks of its own in that time.
-        assertTrue(world.store.requests() - before <= 4, world.store.requests() - before + " requests");
+        assertTrue(cluster.store.requests() - before <= 4, cluster.store.requests() - before + " requests");
     }
 }
--- a/src/test/java/org/weldcourse/app/EarlierRecords.java
+++ b/src/test/java/org/weldcourse/app/EarlierRecords.java
@@ -24,20 +24,20 @@
         }
     }
 
-    static void storeRecords(SimulatedCluster world, Map<String, Object> records) {
+    static void storeRecords(SimulatedCluster cluster, Map<String, Object> records) {
         records.forEach((key, value) -> {
             if (key.contains("/") || key.equals("types")) {
-                world.store.putRecord(key, value);
+                cluster.store.putRecord(key, value);
             }
         });
     }
 
     /** The record of a job that production accepted. */
-    static void storeOpenJob(SimulatedCluster world, Map<String, Object> body) {
+    static void storeOpenJob(SimulatedCluster cluster, Map<String, Object> body) {
         Map<String, Object> open = Json.objectOrEmpty(Json.bytes(body));
-        open.put("accepted", world.clock.wallMicros());
+        open.put("accepted", cluster.clock.wallMicros());
         open.put("cancelled", false);
-        world.store.putRecord("open/" + Json.text(body, "name_id"), open);
+        cluster.store.putRecord("open/" + Json.text(body, "name_id"), open);
     }
 
     static SimulatedCluster upgradingCluster(int valueBytes, int txnOps, Settings.UpcomingStoreLimits next) {
@@ -45,18 +45,18 @@
     }
 
     /** How the production version reads finished tasks, written down here once more and on its own. */
-    static BitSet finishedTasksAsReadByProduction(SimulatedCluster world, String id, int tasks, int valueBytes) {
+    static BitSet finishedTasksAsReadByProduction(SimulatedCluster cluster, String id, int tasks, int valueBytes) {
         int shardTasks = Math.min(16_000, (valueBytes - 64) / 4 * 3 * 8);
         BitSet finished = new BitSet();
-        for (String key : world.store.keys("done/" + id + "/")) {
+        for (String key : cluster.store.keys("done/" + id + "/")) {
             int number = Integer.parseInt(key.substring(key.lastIndexOf('/') + 1));
             int from = number * shardTasks;
             BitSet bits = BitSet.valueOf(
-                    Base64.getDecoder().decode((String) world.store.value(key).get("bits")));
+                    Base64.getDecoder().decode((String) cluster.store.value(key).get("bits")));
             bits.stream().filter(bit -> from + bit < tasks).forEach(bit -> finished.set(from + bit));
         }
-        for (String key : world.store.keys("slices/" + id + "/")) {
-            String bits = (String) world.store.value(key).get("bits");
+        for (String key : cluster.store.keys("slices/" + id + "/")) {
+            String bits = (String) cluster.store.value(key).get("bits");
             if (bits != null) {
                 finished.or(BitSet.valueOf(Base64.getDecoder().decode(bits)));
             }
--- a/src/test/java/org/weldcourse/app/FailureCombinations.java
+++ b/src/test/java/org/weldcourse/app/FailureCombinations.java
@@ -8,7 +8,7 @@
 import org.weldcourse.simulation.SimulatedCluster;
 
 /**
- * Failures that coincide. The world fails a test in which a rule breaks; each test makes sure that its trouble came about. Each
+ * Failures that coincide. The cluster fails a test in which a rule breaks; each test makes sure that its trouble came about. Each
  * script is played twice: as it stands, and with a service in place of each array. The service's replicas must all serve in the
  * end, and are gone once its user cancels it.
  */
@@ -23,9 +23,9 @@
     }
 
     /** Holds up such calls, which get no answer in time, and counts them. */
-    static int[] delayCalls(SimulatedCluster world, long micros, BiPredicate<String, HttpClient.Call> which) {
+    static int[] delayCalls(SimulatedCluster cluster, long micros, BiPredicate<String, HttpClient.Call> which) {
         int[] held = new int[1];
-        world.network.injectFaults((from, call) -> {
+        cluster.network.injectFaults((from, call) -> {
             boolean holds = which.test(from, call);
             held[0] += holds ? 1 : 0;
             return holds ? micros : FakeNetwork.NORMAL;
--- a/src/test/java/org/weldcourse/app/IsolatedLeaderTest.java
+++ b/src/test/java/org/weldcourse/app/IsolatedLeaderTest.java
@@ -20,30 +20,30 @@
         FailureScenario scenario = scenario(3);
         String id = scenario.submitAndAwaitRunning(FOREVER);
         String other = scenario.submitAndAwaitRunning(FOREVER, "beads", 2);
-        SimulatedCluster world = scenario.cluster;
-        String old = world.leader();
-        world.refuseStore(old, true);
-        long sinceMicros = world.clock.nowMicros();
-        world.clock.passSeconds(cancelAfter);
+        SimulatedCluster cluster = scenario.cluster;
+        String old = cluster.leader();
+        cluster.refuseStore(old, true);
+        long sinceMicros = cluster.clock.nowMicros();
+        cluster.clock.passSeconds(cancelAfter);
         scenario.cancelThrough(scenario.peerOf(old), id);
-        world.clock.pass(sinceMicros + Math.round(outageAfter * 1e6) - world.clock.nowMicros());
-        world.store.down(true);
+        cluster.clock.pass(sinceMicros + Math.round(outageAfter * 1e6) - cluster.clock.nowMicros());
+        cluster.store.down(true);
         if (hangs) {
             scenario.machinesOf(id)
-                    .forEach(machine -> world.workers.get(machine).freeze(true));
-            world.clock.passSeconds(6);
+                    .forEach(machine -> cluster.workers.get(machine).freeze(true));
+            cluster.clock.passSeconds(6);
             scenario.machinesOf(id)
-                    .forEach(machine -> world.workers.get(machine).freeze(false));
+                    .forEach(machine -> cluster.workers.get(machine).freeze(false));
         }
-        world.clock.pass(sinceMicros + 18_000_000 - world.clock.nowMicros());
+        cluster.clock.pass(sinceMicros + 18_000_000 - cluster.clock.nowMicros());
         // The old leader can't know, and keeps its workers' tasks through the outage.
         assertEquals(4, scenario.presentTasks(id).size());
-        assertEquals(old, world.leader());
-        world.clock.passSeconds(45);
-        // The world would have failed, had they been there 35 s after the confirmation.
-        assertEquals(0, world.runningTasks());
-        world.store.down(false);
-        world.refuseStore(old, false);
+        assertEquals(old, cluster.leader());
+        cluster.clock.passSeconds(45);
+        // The cluster would have failed, had they been there 35 s after the confirmation.
+        assertEquals(0, cluster.runningTasks());
+        cluster.store.down(false);
+        cluster.refuseStore(old, false);
         scenario.cancel(other);
         scenario.assertAllJobsEnd(60);
     }
@@ -52,22 +52,22 @@
     void leaderWhoseReadsHangWhileItsLeaseIsRenewed() {
         FailureScenario scenario = scenario(3);
         String id = scenario.submitAndAwaitRunning(FOREVER);
-        SimulatedCluster world = scenario.cluster;
-        String leader = world.leader();
+        SimulatedCluster cluster = scenario.cluster;
+        String leader = cluster.leader();
         int[] hung = delayCalls(
-                world,
+                cluster,
                 60_000_000,
                 (from, call) -> from.equals(leader) && call.path().contains("starts=open/"));
-        world.clock.passSeconds(2);
+        cluster.clock.passSeconds(2);
         scenario.cancelThrough(scenario.peerOf(leader), id);
-        world.clock.passSeconds(15);
-        assertEquals(leader, world.leader());
-        assertEquals(4, world.runningTasks());
-        world.clock.passSeconds(25);
+        cluster.clock.passSeconds(15);
+        assertEquals(leader, cluster.leader());
+        assertEquals(4, cluster.runningTasks());
+        cluster.clock.passSeconds(25);
         assertTrue(hung[0] > 0);
-        assertEquals(leader, world.leader(), "its lease was renewed all the time");
-        assertEquals(0, world.runningTasks());
-        world.network.injectFaults((from, call) -> FakeNetwork.NORMAL);
+        assertEquals(leader, cluster.leader(), "its lease was renewed all the time");
+        assertEquals(0, cluster.runningTasks());
+        cluster.network.injectFaults((from, call) -> FakeNetwork.NORMAL);
         scenario.assertAllJobsEnd(60);
     }
 
@@ -75,27 +75,27 @@
     void successorThatCanNotReadKeepsNothingAlive() {
         FailureScenario scenario = scenario(3);
         String id = scenario.submitAndAwaitRunning(FOREVER);
-        SimulatedCluster world = scenario.cluster;
-        String old = world.leader();
-        world.refuseStore(old, true);
-        world.clock.pass(500_000);
+        SimulatedCluster cluster = scenario.cluster;
+        String old = cluster.leader();
+        cluster.refuseStore(old, true);
+        cluster.clock.pass(500_000);
         scenario.cancelThrough(scenario.peerOf(old), id);
         // The old leader kept its workers through an outage of 19 s, and all that is left to the successor is a lease.
-        world.store.down(true);
-        world.clock.passSeconds(19);
-        world.store.down(false);
+        cluster.store.down(true);
+        cluster.clock.passSeconds(19);
+        cluster.store.down(false);
         delayCalls(
-                world,
+                cluster,
                 60_000_000,
                 (from, call) -> !from.equals(old) && call.path().contains("store?starts=open/"));
-        world.clock.passSeconds(8);
-        assertNotEquals(old, world.leader());
+        cluster.clock.passSeconds(8);
+        assertNotEquals(old, cluster.leader());
         assertEquals(2, scenario.fencingToken());
-        assertTrue(world.runningTasks() > 0);
-        world.clock.passSeconds(22);
-        assertEquals(0, world.runningTasks());
-        world.network.injectFaults((from, call) -> FakeNetwork.NORMAL);
-        world.refuseStore(old, false);
+        assertTrue(cluster.runningTasks() > 0);
+        cluster.clock.passSeconds(22);
+        assertEquals(0, cluster.runningTasks());
+        cluster.network.injectFaults((from, call) -> FakeNetwork.NORMAL);
+        cluster.refuseStore(old, false);
         scenario.assertAllJobsEnd(60);
     }
 
@@ -104,18 +104,18 @@
         FailureScenario scenario = scenario(2);
         String id = scenario.submitAndAwaitRunning(FOREVER);
         String stays = scenario.submitAndAwaitRunning(60);
-        SimulatedCluster world = scenario.cluster;
-        world.clock.passSeconds(2);
+        SimulatedCluster cluster = scenario.cluster;
+        cluster.clock.passSeconds(2);
         scenario.killLeader();
         assertEquals("cancelled", scenario.cancel(id));
-        int[] hung = delayCalls(world, 60_000_000, (from, call) -> call.path().contains("starts=slices/"));
+        int[] hung = delayCalls(cluster, 60_000_000, (from, call) -> call.path().contains("starts=slices/"));
         scenario.awaitLeader(10);
-        world.clock.passSeconds(4);
+        cluster.clock.passSeconds(4);
         assertTrue(hung[0] > 0);
         assertEquals(0, scenario.presentTasks(id).size());
         // Nobody knows yet what else should run where, and it goes on.
         assertEquals(4, scenario.presentTasks(stays).size());
-        world.network.injectFaults((from, call) -> FakeNetwork.NORMAL);
+        cluster.network.injectFaults((from, call) -> FakeNetwork.NORMAL);
         scenario.assertAllJobsEnd(90);
         scenario.assertEachTaskStartedOnce();
     }
@@ -125,23 +125,23 @@
         FailureScenario scenario = scenario(3);
         String id = scenario.submitAndAwaitRunning(FOREVER);
         String stays = scenario.submitAndAwaitRunning(70);
-        SimulatedCluster world = scenario.cluster;
-        String old = world.leader();
-        world.cutFromStore(old);
-        world.cutFromPeers(old);
-        world.clock.passSeconds(7);
-        String successor = world.nodes().stream()
-                .filter(node -> !node.equals(old) && world.controller(node).isLeader())
+        SimulatedCluster cluster = scenario.cluster;
+        String old = cluster.leader();
+        cluster.cutFromStore(old);
+        cluster.cutFromPeers(old);
+        cluster.clock.passSeconds(7);
+        String successor = cluster.nodes().stream()
+                .filter(node -> !node.equals(old) && cluster.controller(node).isLeader())
                 .findFirst()
                 .orElseThrow();
-        assertTrue(world.controller(old).isLeader(), "it has heard of nothing");
+        assertTrue(cluster.controller(old).isLeader(), "it has heard of nothing");
         scenario.cancelThrough(successor, id);
-        assertNotEquals(200, world.poll(old, id).status());
-        world.clock.passSeconds(30);
+        assertNotEquals(200, cluster.poll(old, id).status());
+        cluster.clock.passSeconds(30);
         assertEquals(4, scenario.presentTasks(stays).size());
-        assertEquals(1, world.starts.get(stays + "/0"));
-        world.healStoreLink(old);
-        world.healPeerLinks(old);
+        assertEquals(1, cluster.starts.get(stays + "/0"));
+        cluster.healStoreLink(old);
+        cluster.healPeerLinks(old);
         scenario.assertAllJobsEnd(90);
     }
 
@@ -149,29 +149,29 @@
     @ValueSource(doubles = {1.6, 2.5, 6})
     void leaderRefusedByTheStoreStartsNothing(double healsAfter) {
         FailureScenario scenario = scenario(3);
-        SimulatedCluster world = scenario.cluster;
+        SimulatedCluster cluster = scenario.cluster;
         scenario.limitCloudToOneLargeMachine();
-        String machine = world.workers.keySet().iterator().next();
+        String machine = cluster.workers.keySet().iterator().next();
         // What is admitted on it waits for its next report.
-        world.workers.get(machine).freeze(true);
+        cluster.workers.get(machine).freeze(true);
         String id = scenario.submit(FOREVER);
-        world.clock.pass(300_000);
-        assertEquals(1, world.store.keys("slices/").size());
-        String old = world.leader();
-        world.refuseStore(old, true);
-        world.clock.after(2_000_000, () -> world.store.down(true));
-        world.clock.after(
-                Math.round(healsAfter * 1e6), () -> world.workers.get(machine).freeze(false));
-        world.clock.passSeconds(0.7);
+        cluster.clock.pass(300_000);
+        assertEquals(1, cluster.store.keys("slices/").size());
+        String old = cluster.leader();
+        cluster.refuseStore(old, true);
+        cluster.clock.after(2_000_000, () -> cluster.store.down(true));
+        cluster.clock.after(
+                Math.round(healsAfter * 1e6), () -> cluster.workers.get(machine).freeze(false));
+        cluster.clock.passSeconds(0.7);
         scenario.cancelThrough(scenario.peerOf(old), id);
-        world.clock.passSeconds(healsAfter);
-        world.clock.passSeconds(3);
-        assertEquals(old, world.leader());
-        assertTrue(world.clock.nowMicros() - world.workers.get(machine).lastHeartbeatMicros() < 2_000_000);
-        assertEquals(0, world.startsAfterCancellation());
-        world.store.down(false);
-        world.refuseStore(old, false);
+        cluster.clock.passSeconds(healsAfter);
+        cluster.clock.passSeconds(3);
+        assertEquals(old, cluster.leader());
+        assertTrue(cluster.clock.nowMicros() - cluster.workers.get(machine).lastHeartbeatMicros() < 2_000_000);
+        assertEquals(0, cluster.startsAfterCancellation());
+        cluster.store.down(false);
+        cluster.refuseStore(old, false);
         scenario.assertAllJobsEnd(60);
-        assertEquals(0, world.startsAfterCancellation());
+        assertEquals(0, cluster.startsAfterCancellation());
     }
 }
--- a/src/test/java/org/weldcourse/app/JobLifecycleTest.java
+++ b/src/test/java/org/weldcourse/app/JobLifecycleTest.java
@@ -13,195 +13,197 @@
 import org.weldcourse.http.Server;
 import org.weldcourse.simulation.SimulatedCluster;
 
-/** What users are told of their jobs, from submission to the end. The world fails a test in which a rule of the protocol breaks. */
+/** What users are told of their jobs, from submission to the end. The cluster fails a test in which a rule of the protocol breaks. */
 class JobLifecycleTest {
     @Test
     void arrayRunsEveryTaskOnceAndStaysDone() {
-        SimulatedCluster world = settled(3);
-        assertEquals(201, world.submit("n0", jobBody("req-000001")).status());
-        assertTrue(world.reaches("n1", "req-000001", "done", 60));
-        assertEquals(4, world.starts.size());
-        assertTrue(world.starts.values().stream().allMatch(count -> count == 1));
-        SimulatedCluster.ApiResponse again = world.submit("n2", jobBody("req-000001"));
+        SimulatedCluster cluster = settled(3);
+        assertEquals(201, cluster.submit("n0", jobBody("req-000001")).status());
+        assertTrue(cluster.reaches("n1", "req-000001", "done", 60));
+        assertEquals(4, cluster.starts.size());
+        assertTrue(cluster.starts.values().stream().allMatch(count -> count == 1));
+        SimulatedCluster.ApiResponse again = cluster.submit("n2", jobBody("req-000001"));
         assertEquals(200, again.status());
         assertEquals("done", again.state());
-        assertEquals(List.of(), world.store.keys("open/"));
-        assertEquals(List.of(), world.store.keys("slices/"));
+        assertEquals(List.of(), cluster.store.keys("open/"));
+        assertEquals(List.of(), cluster.store.keys("slices/"));
     }
 
     @Test
     void refusesWhatCanNeverRunAndWhatIsMalformed() {
-        SimulatedCluster world = settled(1);
+        SimulatedCluster cluster = settled(1);
         assertEquals(
-                422, world.submit("n0", jobBody("req-000006", "crew", "nobody")).status());
+                422,
+                cluster.submit("n0", jobBody("req-000006", "crew", "nobody")).status());
         assertEquals(
-                422, world.submit("n0", jobBody("req-000007", "cpus", 17.0)).status());
+                422, cluster.submit("n0", jobBody("req-000007", "cpus", 17.0)).status());
         assertEquals(
                 422,
-                world.submit("n0", jobBody("req-000008", "crew", "capped", "shape", "ensemble", "beads", 5))
+                cluster.submit("n0", jobBody("req-000008", "crew", "capped", "shape", "ensemble", "beads", 5))
                         .status());
-        assertEquals(400, world.submit("n0", jobBody("req-000009", "beads", 0)).status());
         assertEquals(
-                400, world.request("n0", "POST", "/v1/jobs", "[1]".getBytes()).status());
+                400, cluster.submit("n0", jobBody("req-000009", "beads", 0)).status());
+        assertEquals(
+                400, cluster.request("n0", "POST", "/v1/jobs", "[1]".getBytes()).status());
         assertEquals(
-                400, world.request("n0", "POST", "/v1/jobs", "{".getBytes()).status());
-        assertEquals(404, world.poll("n0", "req-000006").status());
-        assertEquals(404, world.poll("n0", "no-such-form").status());
-        assertEquals(404, world.cancel("n0", "req-000006").status());
+                400, cluster.request("n0", "POST", "/v1/jobs", "{".getBytes()).status());
+        assertEquals(404, cluster.poll("n0", "req-000006").status());
+        assertEquals(404, cluster.poll("n0", "no-such-form").status());
+        assertEquals(404, cluster.cancel("n0", "req-000006").status());
     }
 
     @Test
     void submissionIsRefusedAtOnceDuringAStoreOutage() {
-        SimulatedCluster world = settled(1);
-        world.store.down(true);
-        long beforeMicros = world.clock.nowMicros();
-        SimulatedCluster.ApiResponse answer = world.submit("n0", jobBody("req-000010"));
+        SimulatedCluster cluster = settled(1);
+        cluster.store.down(true);
+        long beforeMicros = cluster.clock.nowMicros();
+        SimulatedCluster.ApiResponse answer = cluster.submit("n0", jobBody("req-000010"));
         assertEquals(503, answer.status());
         assertTrue(answer.retryAfterSeconds() > 0);
-        assertTrue(world.clock.nowMicros() - beforeMicros < 100_000);
+        assertTrue(cluster.clock.nowMicros() - beforeMicros < 100_000);
     }
 
     @Test
     void lostCommitAnswerIsReadBackNotGuessed() {
-        SimulatedCluster world = settled(1);
-        world.loseResponses("n0", true);
+        SimulatedCluster cluster = settled(1);
+        cluster.loseResponses("n0", true);
         Map<String, Object> job = jobBody("req-000011");
-        SimulatedCluster.ApiResponse lost = world.submit("n0", job);
+        SimulatedCluster.ApiResponse lost = cluster.submit("n0", job);
         assertNotEquals(404, lost.status());
-        world.loseResponses("n0", false);
-        world.clock.passSeconds(10);
+        cluster.loseResponses("n0", false);
+        cluster.clock.passSeconds(10);
         // Carried out although nobody heard so: a repeat finds it and it runs once.
-        assertEquals(200, world.submit("n0", job).status());
-        assertTrue(world.reaches("n0", "req-000011", "done", 90));
-        assertTrue(world.starts.values().stream().allMatch(count -> count == 1));
+        assertEquals(200, cluster.submit("n0", job).status());
+        assertTrue(cluster.reaches("n0", "req-000011", "done", 90));
+        assertTrue(cluster.starts.values().stream().allMatch(count -> count == 1));
     }
 
     @Test
     void cancelledJobLeavesEveryMachineAndStaysCancelled() {
-        SimulatedCluster world = settled(3);
-        world.runMicros.put("req-000012", Long.MAX_VALUE);
-        world.submit("n0", jobBody("req-000012"));
-        assertTrue(world.reaches("n0", "req-000012", "running", 60));
-        world.clock.passSeconds(5);
-        assertEquals("cancelled", world.cancel("n1", "req-000012").state());
-        world.clock.passSeconds(5);
-        assertEquals(0, world.runningTasks());
-        assertEquals("cancelled", world.poll("n2", "req-000012").state());
-        assertEquals("cancelled", world.cancel("n0", "req-000012").state());
-        assertNotNull(world.store.value("final/req-000012"));
+        SimulatedCluster cluster = settled(3);
+        cluster.runMicros.put("req-000012", Long.MAX_VALUE);
+        cluster.submit("n0", jobBody("req-000012"));
+        assertTrue(cluster.reaches("n0", "req-000012", "running", 60));
+        cluster.clock.passSeconds(5);
+        assertEquals("cancelled", cluster.cancel("n1", "req-000012").state());
+        cluster.clock.passSeconds(5);
+        assertEquals(0, cluster.runningTasks());
+        assertEquals("cancelled", cluster.poll("n2", "req-000012").state());
+        assertEquals("cancelled", cluster.cancel("n0", "req-000012").state());
+        assertNotNull(cluster.store.value("final/req-000012"));
     }
 
     @Test
     void cancelAfterTheEndSaysDone() {
-        SimulatedCluster world = settled(1);
-        world.submit("n0", jobBody("req-000013"));
-        assertTrue(world.reaches("n0", "req-000013", "done", 60));
-        assertEquals("done", world.cancel("n0", "req-000013").state());
-        assertEquals("done", world.poll("n0", "req-000013").state());
+        SimulatedCluster cluster = settled(1);
+        cluster.submit("n0", jobBody("req-000013"));
+        assertTrue(cluster.reaches("n0", "req-000013", "done", 60));
+        assertEquals("done", cluster.cancel("n0", "req-000013").state());
+        assertEquals("done", cluster.poll("n0", "req-000013").state());
     }
 
     @Test
     void jobThatFailsEverywhereDoesNotSpin() {
-        SimulatedCluster world = settled(1);
-        world.runMicros.put("req-000031", -1L);
-        world.submit("n0", jobBody("req-000031", "beads", 1));
-        world.clock.passSeconds(120);
-        assertTrue(world.starts.get("req-000031/0") < 20, world.starts.toString());
-        assertEquals("cancelled", world.cancel("n0", "req-000031").state());
-        world.clock.passSeconds(3);
-        assertNotNull(world.store.value("final/req-000031"));
+        SimulatedCluster cluster = settled(1);
+        cluster.runMicros.put("req-000031", -1L);
+        cluster.submit("n0", jobBody("req-000031", "beads", 1));
+        cluster.clock.passSeconds(120);
+        assertTrue(cluster.starts.get("req-000031/0") < 20, cluster.starts.toString());
+        assertEquals("cancelled", cluster.cancel("n0", "req-000031").state());
+        cluster.clock.passSeconds(3);
+        assertNotNull(cluster.store.value("final/req-000031"));
     }
 
     @Test
     void serviceRunsUntilItsUserEndsIt() {
-        SimulatedCluster world = settled(1);
-        world.submit("n0", jobBody("req-000034", "shape", "service", "beads", 2, "expected_s", 0.0));
-        assertTrue(world.reaches("n0", "req-000034", "running", 60));
-        world.clock.passSeconds(60);
-        assertNotEquals("done", world.poll("n0", "req-000034").state());
-        assertEquals("cancelled", world.cancel("n0", "req-000034").state());
-        world.clock.passSeconds(5);
-        assertEquals(0, world.runningTasks());
+        SimulatedCluster cluster = settled(1);
+        cluster.submit("n0", jobBody("req-000034", "shape", "service", "beads", 2, "expected_s", 0.0));
+        assertTrue(cluster.reaches("n0", "req-000034", "running", 60));
+        cluster.clock.passSeconds(60);
+        assertNotEquals("done", cluster.poll("n0", "req-000034").state());
+        assertEquals("cancelled", cluster.cancel("n0", "req-000034").state());
+        cluster.clock.passSeconds(5);
+        assertEquals(0, cluster.runningTasks());
     }
 
     @Test
     void pollsShareOneReadAndAreNeverOlderThanTheQuestion() {
-        SimulatedCluster world = settled(2);
-        world.cloud.capacity = 0;
+        SimulatedCluster cluster = settled(2);
+        cluster.cloud.capacity = 0;
         for (int i = 0; i < 40; i++) {
             assertEquals(
                     201,
-                    world.submit("n0", jobBody(String.format("req-%06d", 500 + i)))
+                    cluster.submit("n0", jobBody(String.format("req-%06d", 500 + i)))
                             .status());
         }
         // What one node accepted or was told to cancel, another knows at once.
-        assertEquals("queued", world.poll("n1", "req-000539").state());
-        assertEquals("cancelled", world.cancel("n0", "req-000520").state());
-        assertEquals("cancelled", world.poll("n1", "req-000520").state());
-        int before = world.store.requests();
+        assertEquals("queued", cluster.poll("n1", "req-000539").state());
+        assertEquals("cancelled", cluster.cancel("n0", "req-000520").state());
+        assertEquals("cancelled", cluster.poll("n1", "req-000520").state());
+        int before = cluster.store.requests();
         int[] answered = new int[1];
         for (int i = 0; i < 40; i++) {
-            world.controller("n1")
+            cluster.controller("n1")
                     .requestHandler()
                     .handle(
                             new Server.Request("GET", "/v1/jobs/req-" + String.format("%06d", 500 + i), new byte[0]),
                             (status, body, retry) -> answered[0] += status == 200 ? 1 : 0);
         }
-        world.clock.passSeconds(1);
+        cluster.clock.passSeconds(1);
         assertEquals(40, answered[0]);
         // The rest are the nodes' own: renewals, pulses and the like.
-        assertTrue(world.store.requests() - before < 16, "requests: " + (world.store.requests() - before));
+        assertTrue(cluster.store.requests() - before < 16, "requests: " + (cluster.store.requests() - before));
     }
 
     @Test
     void nodeThatFellTooFarBehindReadsAllAgain() {
-        SimulatedCluster world = settled(2);
-        world.cloud.capacity = 0;
-        world.submit("n0", jobBody("req-000046"));
-        assertEquals("queued", world.poll("n1", "req-000046").state());
-        world.submit("n0", jobBody("req-000047"));
-        world.cancel("n0", "req-000046");
-        world.store.compactHistory();
-        assertEquals("cancelled", world.poll("n1", "req-000046").state());
-        assertEquals("queued", world.poll("n1", "req-000047").state());
-        assertEquals(404, world.poll("n1", "req-000048").status());
-        world.cloud.capacity = 100;
-        assertTrue(world.reaches("n1", "req-000047", "done", 90));
+        SimulatedCluster cluster = settled(2);
+        cluster.cloud.capacity = 0;
+        cluster.submit("n0", jobBody("req-000046"));
+        assertEquals("queued", cluster.poll("n1", "req-000046").state());
+        cluster.submit("n0", jobBody("req-000047"));
+        cluster.cancel("n0", "req-000046");
+        cluster.store.compactHistory();
+        assertEquals("cancelled", cluster.poll("n1", "req-000046").state());
+        assertEquals("queued", cluster.poll("n1", "req-000047").state());
+        assertEquals(404, cluster.poll("n1", "req-000048").status());
+        cluster.cloud.capacity = 100;
+        assertTrue(cluster.reaches("n1", "req-000047", "done", 90));
     }
 
     @Test
     void everyQuestionIsAnsweredSoonAfterAllTroubles() {
-        SimulatedCluster world = settled(3);
+        SimulatedCluster cluster = settled(3);
         for (int i = 0; i < 12; i++) {
             assertEquals(
                     201,
-                    world.submit("n" + i % 3, jobBody(String.format("req-%06d", 700 + i)))
+                    cluster.submit("n" + i % 3, jobBody(String.format("req-%06d", 700 + i)))
                             .status());
         }
-        world.cancel("n1", "req-000705");
+        cluster.cancel("n1", "req-000705");
         // Together: the state service is down, a leader is cut off, all processes end, and changes are forgotten.
-        world.cutFromStore(world.leader());
-        world.clock.passSeconds(5);
-        world.store.down(true);
-        world.clock.passSeconds(10);
+        cluster.cutFromStore(cluster.leader());
+        cluster.clock.passSeconds(5);
+        cluster.store.down(true);
+        cluster.clock.passSeconds(10);
         for (String node : List.of("n0", "n1", "n2")) {
-            world.killNode(node);
-            world.startNode(node);
+            cluster.killNode(node);
+            cluster.startNode(node);
         }
-        world.clock.passSeconds(5);
-        world.store.down(false);
-        world.store.compactHistory();
+        cluster.clock.passSeconds(5);
+        cluster.store.down(false);
+        cluster.store.compactHistory();
         for (String node : List.of("n0", "n1", "n2")) {
-            world.healStoreLink(node);
+            cluster.healStoreLink(node);
         }
-        world.clock.passSeconds(5);
+        cluster.clock.passSeconds(5);
         for (int i = 0; i < 12; i++) {
-            SimulatedCluster.ApiResponse answer = world.poll("n" + (i + 1) % 3, String.format("req-%06d", 700 + i));
+            SimulatedCluster.ApiResponse answer = cluster.poll("n" + (i + 1) % 3, String.format("req-%06d", 700 + i));
             assertEquals(200, answer.status());
             assertEquals(i == 5, "cancelled".equals(answer.state()));
         }
         for (int i = 0; i < 12; i++) {
-            assertTrue(i == 5 || world.reaches("n0", String.format("req-%06d", 700 + i), "done", 120));
+            assertTrue(i == 5 || cluster.reaches("n0", String.format("req-%06d", 700 + i), "done", 120));
         }
     }
 }
--- a/src/test/java/org/weldcourse/app/LateWritesTest.java
+++ b/src/test/java/org/weldcourse/app/LateWritesTest.java
@@ -20,10 +20,10 @@
     @CsvSource({"false, 1", "false, 2", "false, 3", "true, 1", "true, 2", "true, 3"})
     void commitsWithoutAnAnswer(boolean atOnce, int seed) {
         FailureScenario scenario = scenario(3);
-        SimulatedCluster world = scenario.cluster;
+        SimulatedCluster cluster = scenario.cluster;
         Random random = new Random(seed);
         int[] lost = new int[1];
-        world.network.injectFaults((from, call) -> {
+        cluster.network.injectFaults((from, call) -> {
             if (!call.path().equals("/commit") || random.nextInt(10) >= 4) {
                 return FakeNetwork.NORMAL;
             }
@@ -34,63 +34,63 @@
         for (int i = 0; i < 12; i++) {
             String id = scenario.submit(1 + random.nextInt(8), "beads", 1 + random.nextInt(4));
             // Others read what was written while its writer waits.
-            world.alive().forEach(node -> world.pollAsync(node, id));
-            world.clock.pass(random.nextInt(2_000_000));
+            cluster.alive().forEach(node -> cluster.pollAsync(node, id));
+            cluster.clock.pass(random.nextInt(2_000_000));
             if (i % 3 == 0) {
                 scenario.cancel(id);
-                world.alive().forEach(node -> world.pollAsync(node, id));
+                cluster.alive().forEach(node -> cluster.pollAsync(node, id));
             }
             if (i == 7) {
                 String ended = scenario.killLeader();
-                world.clock.passSeconds(1);
-                world.startNode(ended);
+                cluster.clock.passSeconds(1);
+                cluster.startNode(ended);
             }
         }
         assertTrue(lost[0] > 10, "lost: " + lost[0]);
-        world.clock.passSeconds(20);
-        world.network.injectFaults((from, call) -> FakeNetwork.NORMAL);
-        world.clock.passSeconds(13);
+        cluster.clock.passSeconds(20);
+        cluster.network.injectFaults((from, call) -> FakeNetwork.NORMAL);
+        cluster.clock.passSeconds(13);
         scenario.assertAllJobsEnd(240);
     }
 
     @Test
     void lateAdmissionOfADeadLeaderIsFenced() {
         FailureScenario scenario = scenario(2);
-        SimulatedCluster world = scenario.cluster;
+        SimulatedCluster cluster = scenario.cluster;
         scenario.limitCloudToOneLargeMachine();
         int[] late = new int[1];
-        world.network.injectFaults(
+        cluster.network.injectFaults(
                 (from, call) -> isAdmission(call) && late[0]++ == 0 ? 9_000_000 : FakeNetwork.NORMAL);
         scenario.submit(10);
-        world.clock.pass(200_000);
+        cluster.clock.pass(200_000);
         assertEquals(1, late[0]);
         scenario.killLeader();
-        world.workers.values().forEach(worker -> worker.freeze(true));
+        cluster.workers.values().forEach(worker -> worker.freeze(true));
         scenario.awaitLeader(8);
-        world.clock.passSeconds(5);
-        assertEquals(List.of(), world.store.keys("slices/"));
-        world.cloud.capacity = 100;
+        cluster.clock.passSeconds(5);
+        assertEquals(List.of(), cluster.store.keys("slices/"));
+        cluster.cloud.capacity = 100;
         scenario.assertAllJobsEnd(120);
     }
 
     @Test
     void lateCommitDoesNotOverwriteANewerOne() {
         FailureScenario scenario = scenario(2);
-        SimulatedCluster world = scenario.cluster;
+        SimulatedCluster cluster = scenario.cluster;
         scenario.limitCloudToOneLargeMachine();
         int[] late = new int[1];
-        world.network.injectFaults(
+        cluster.network.injectFaults(
                 (from, call) -> isAdmission(call) && late[0]++ == 0 ? 12_000_000 : FakeNetwork.NORMAL);
         String id = scenario.submit(40, "beads", 12);
-        world.clock.passSeconds(3);
+        cluster.clock.passSeconds(3);
         assertEquals(8, scenario.presentTasks(id).size());
-        world.cloud.capacity = 2;
-        world.cloud.addUnrequested("large", "a", false);
-        world.clock.passSeconds(7);
+        cluster.cloud.capacity = 2;
+        cluster.cloud.addUnrequested("large", "a", false);
+        cluster.clock.passSeconds(7);
         assertEquals(
                 12, scenario.presentTasks(id).size(), "a second admission is on record before the first comes late");
         assertTrue(late[0] >= 3);
-        world.clock.passSeconds(4);
+        cluster.clock.passSeconds(4);
         scenario.killLeader();
         scenario.awaitLeader(8);
         scenario.assertAllJobsEnd(120);
@@ -104,41 +104,42 @@
         // The first day tells when the job is closed; on the others, all alike, its user cancels around that moment.
         for (long offsetMicros = -6_500; offsetMicros <= 5_000; offsetMicros += 500) {
             FailureScenario scenario = scenario(2);
-            SimulatedCluster world = scenario.cluster;
+            SimulatedCluster cluster = scenario.cluster;
             String id = scenario.submitAndAwaitRunning(8, "beads", 1);
             if (closedMicros[0] == 0) {
-                world.network.injectFaults((from, call) -> {
-                    closedMicros[0] = isCommitTo(call, "final/") ? world.clock.nowMicros() : closedMicros[0];
+                cluster.network.injectFaults((from, call) -> {
+                    closedMicros[0] = isCommitTo(call, "final/") ? cluster.clock.nowMicros() : closedMicros[0];
                     return FakeNetwork.NORMAL;
                 });
-                world.clock.passSeconds(15);
+                cluster.clock.passSeconds(15);
                 assertTrue(closedMicros[0] > 0);
                 continue;
             }
-            world.clock.pass(closedMicros[0] + offsetMicros - world.clock.nowMicros());
-            world.alive().forEach(node -> world.pollAsync(node, id));
-            SimulatedCluster.ApiResponse answer = world.cancel("n1", id);
+            cluster.clock.pass(closedMicros[0] + offsetMicros - cluster.clock.nowMicros());
+            cluster.alive().forEach(node -> cluster.pollAsync(node, id));
+            SimulatedCluster.ApiResponse answer = cluster.cancel("n1", id);
             assertEquals(200, answer.status(), "at once, " + offsetMicros + " from the end: " + answer);
             states.add(answer.state());
             if ("cancelled".equals(answer.state())) {
                 scenario.cancelled.add(id);
             }
-            world.alive().forEach(node -> world.pollAsync(node, id));
+            cluster.alive().forEach(node -> cluster.pollAsync(node, id));
             assertEquals(
-                    answer.state(), world.submit("n1", scenario.bodies.get(id)).state());
+                    answer.state(),
+                    cluster.submit("n1", scenario.bodies.get(id)).state());
             scenario.assertAllJobsEnd(30);
         }
         assertEquals(Set.of("done", "cancelled"), states);
     }
 
-    private static int pollAllWithinMilliseconds(SimulatedCluster world, String id) {
+    private static int pollAllWithinMilliseconds(SimulatedCluster cluster, String id) {
         int asked = 0;
         for (int step = 0; step < 10; step++) {
-            for (String node : world.alive()) {
-                world.pollAsync(node, id);
+            for (String node : cluster.alive()) {
+                cluster.pollAsync(node, id);
                 asked++;
             }
-            world.clock.pass(1_000 + 700L * step);
+            cluster.clock.pass(1_000 + 700L * step);
         }
         return asked;
     }
@@ -146,84 +147,85 @@
     @Test
     void everyNodeIsPolledWithinMillisecondsOfAChange() {
         FailureScenario scenario = scenario(3);
-        SimulatedCluster world = scenario.cluster;
+        SimulatedCluster cluster = scenario.cluster;
         int asked = 0;
         for (int i = 0; i < 8; i++) {
             String id = scenario.submit(3, "beads", 1);
-            asked += pollAllWithinMilliseconds(world, id);
+            asked += pollAllWithinMilliseconds(cluster, id);
             assertEquals(
                     200,
-                    world.submit(scenario.aliveNode(i), scenario.bodies.get(id)).status());
+                    cluster.submit(scenario.aliveNode(i), scenario.bodies.get(id))
+                            .status());
             if (i % 2 == 0) {
                 scenario.cancel(id);
             } else {
-                assertTrue(world.reaches(scenario.aliveNode(i), id, "done", 60));
+                assertTrue(cluster.reaches(scenario.aliveNode(i), id, "done", 60));
             }
-            asked += pollAllWithinMilliseconds(world, id);
-            world.alive()
+            asked += pollAllWithinMilliseconds(cluster, id);
+            cluster.alive()
                     .forEach(node -> assertEquals(
-                            200, world.submit(node, scenario.bodies.get(id)).status()));
+                            200, cluster.submit(node, scenario.bodies.get(id)).status()));
         }
-        world.clock.passSeconds(3);
-        assertEquals(asked, world.pollResponses());
+        cluster.clock.passSeconds(3);
+        assertEquals(asked, cluster.pollResponses());
         scenario.assertAllJobsEnd(30);
     }
 
     @Test
     void oneTaskJobsFourASecondAQuarterOfThemCancelled() {
         FailureScenario scenario = scenario(3);
-        SimulatedCluster world = scenario.cluster;
-        int before = world.store.writes();
-        int requests = world.store.requests();
+        SimulatedCluster cluster = scenario.cluster;
+        int before = cluster.store.writes();
+        int requests = cluster.store.requests();
         String refused = null;
         for (int i = 0; i < 240; i++) {
             String id = scenario.submit(3, "beads", 1, "cpus", 1.0);
             if (i % 4 == 0) {
                 scenario.cancel(id);
             }
-            world.clock.pass(250_000);
+            cluster.clock.pass(250_000);
             if (i % 60 == 28) {
-                refused = world.leader();
-                world.refuseStore(refused, true);
+                refused = cluster.leader();
+                cluster.refuseStore(refused, true);
             } else if (i % 60 == 34) {
                 // Meanwhile the changes that the state service keeps have gone by.
-                world.store.compactHistory();
-                world.refuseStore(refused, false);
+                cluster.store.compactHistory();
+                cluster.refuseStore(refused, false);
             }
         }
-        world.clock.passSeconds(40);
+        cluster.clock.passSeconds(40);
         // Accepted, admitted, two for the end, and its admission swept; a quarter were cancelled.
-        double changes = (world.store.writes() - before) / 240.0;
+        double changes = (cluster.store.writes() - before) / 240.0;
         assertTrue(changes <= 5.25, "changes for each job: " + changes);
-        double reads = (world.store.requests() - requests) / 240.0;
+        double reads = (cluster.store.requests() - requests) / 240.0;
         assertTrue(reads <= 12, "requests for each job, the nodes' own among them: " + reads);
-        assertEquals(List.of(), world.store.keys("open/"));
-        assertEquals(List.of(), world.store.keys("slices/"));
-        before = world.store.writes();
+        assertEquals(List.of(), cluster.store.keys("open/"));
+        assertEquals(List.of(), cluster.store.keys("slices/"));
+        before = cluster.store.writes();
         scenario.assertAllJobsEnd(10);
         // The record of the machine types is renewed now and then.
-        assertTrue(world.store.writes() - before <= 2, "repeated submissions of what is known cost no changes");
+        assertTrue(cluster.store.writes() - before <= 2, "repeated submissions of what is known cost no changes");
     }
 
     @Test
     void overloadWithPreemptionOverSlowLinks() {
         FailureScenario scenario = scenario(3);
-        SimulatedCluster world = scenario.cluster;
-        world.cloud.capacity = 2;
-        world.slowStore(350_000);
+        SimulatedCluster cluster = scenario.cluster;
+        cluster.cloud.capacity = 2;
+        cluster.slowStore(350_000);
         for (int i = 0; i < 6; i++) {
             scenario.submit(8, "rank", "idle", "beads", 30, "cpus", 2.0);
         }
-        world.clock.passSeconds(20);
-        int idle = world.runningTasks();
+        cluster.clock.passSeconds(20);
+        int idle = cluster.runningTasks();
         assertTrue(idle > 0);
         String urgent = scenario.submit(8, "rank", "urgent", "shape", "ensemble", "beads", 2, "cpus", 4.0);
-        world.clock.passSeconds(25);
-        assertNotNull(world.starts.get(urgent + "/1"), "work of lower priority gave way");
+        cluster.clock.passSeconds(25);
+        assertNotNull(cluster.starts.get(urgent + "/1"), "work of lower priority gave way");
         scenario.killLeader();
         scenario.awaitLeader(12);
-        world.slowStore(0);
+        cluster.slowStore(0);
         scenario.assertAllJobsEnd(400);
-        assertTrue(world.starts.get(urgent + "/0") <= 2);
+        assertTrue(cluster.starts.get(urgent + "/0") <= 2);
     }
 }
--- a/src/test/java/org/weldcourse/app/LeaderFailoverTest.java
+++ b/src/test/java/org/weldcourse/app/LeaderFailoverTest.java
@@ -18,129 +18,129 @@
 class LeaderFailoverTest {
     @Test
     void failoverKeepsRunningTasksWithoutStartingThemAgain() {
-        SimulatedCluster world = settled(3);
-        world.runMicros.put("req-000014", 40_000_000L);
-        world.submit("n0", jobBody("req-000014"));
-        assertTrue(world.reaches("n0", "req-000014", "running", 60));
-        world.clock.passSeconds(5);
-        assertEquals(4, world.runningTasks());
-        String old = world.leader();
-        world.killNode(old);
-        world.clock.passSeconds(10);
-        assertNotNull(world.leader());
-        String other = world.leader();
-        assertTrue(world.reaches(other, "req-000014", "done", 90));
-        assertTrue(world.starts.values().stream().allMatch(count -> count == 1), world.starts.toString());
+        SimulatedCluster cluster = settled(3);
+        cluster.runMicros.put("req-000014", 40_000_000L);
+        cluster.submit("n0", jobBody("req-000014"));
+        assertTrue(cluster.reaches("n0", "req-000014", "running", 60));
+        cluster.clock.passSeconds(5);
+        assertEquals(4, cluster.runningTasks());
+        String old = cluster.leader();
+        cluster.killNode(old);
+        cluster.clock.passSeconds(10);
+        assertNotNull(cluster.leader());
+        String other = cluster.leader();
+        assertTrue(cluster.reaches(other, "req-000014", "done", 90));
+        assertTrue(cluster.starts.values().stream().allMatch(count -> count == 1), cluster.starts.toString());
     }
 
     @Test
     void allControllersRestartAndNothingIsForgotten() {
-        SimulatedCluster world = settled(3);
-        world.runMicros.put("req-000015", 30_000_000L);
-        world.submit("n0", jobBody("req-000015"));
-        world.clock.passSeconds(12);
+        SimulatedCluster cluster = settled(3);
+        cluster.runMicros.put("req-000015", 30_000_000L);
+        cluster.submit("n0", jobBody("req-000015"));
+        cluster.clock.passSeconds(12);
         for (String node : List.of("n0", "n1", "n2")) {
-            world.killNode(node);
+            cluster.killNode(node);
         }
-        world.clock.passSeconds(3);
+        cluster.clock.passSeconds(3);
         for (String node : List.of("n0", "n1", "n2")) {
-            world.startNode(node);
+            cluster.startNode(node);
         }
-        world.clock.passSeconds(3);
-        assertEquals(200, world.poll("n1", "req-000015").status());
-        assertTrue(world.reaches("n1", "req-000015", "done", 120));
+        cluster.clock.passSeconds(3);
+        assertEquals(200, cluster.poll("n1", "req-000015").status());
+        assertTrue(cluster.reaches("n1", "req-000015", "done", 120));
     }
 
     @Test
     void restartedLeaderNeedNotWaitForItsOwnLeaseToExpire() {
-        SimulatedCluster world = settled(1);
-        world.killNode("n0");
-        world.startNode("n0");
-        world.clock.passSeconds(1);
-        assertEquals("n0", world.leader());
+        SimulatedCluster cluster = settled(1);
+        cluster.killNode("n0");
+        cluster.startNode("n0");
+        cluster.clock.passSeconds(1);
+        assertEquals("n0", cluster.leader());
     }
 
     @Test
     void leaderCutFromTheStoreStepsDownAndItsWorkersFollowTheSuccessor() {
-        SimulatedCluster world = settled(3);
-        world.runMicros.put("req-000016", 60_000_000L);
-        world.submit("n0", jobBody("req-000016"));
-        assertTrue(world.reaches("n0", "req-000016", "running", 60));
-        world.clock.passSeconds(3);
-        String old = world.leader();
-        world.cutFromStore(old);
-        world.clock.passSeconds(8);
+        SimulatedCluster cluster = settled(3);
+        cluster.runMicros.put("req-000016", 60_000_000L);
+        cluster.submit("n0", jobBody("req-000016"));
+        assertTrue(cluster.reaches("n0", "req-000016", "running", 60));
+        cluster.clock.passSeconds(3);
+        String old = cluster.leader();
+        cluster.cutFromStore(old);
+        cluster.clock.passSeconds(8);
         String successor = null;
         for (String node : List.of("n0", "n1", "n2")) {
-            if (!node.equals(old) && world.controller(node).isLeader()) {
+            if (!node.equals(old) && cluster.controller(node).isLeader()) {
                 successor = node;
             }
         }
         assertNotNull(successor);
         // Told by the successor; the old leader can't know, and must have let go of its workers in time.
-        world.cancel(successor, "req-000016");
+        cluster.cancel(successor, "req-000016");
         for (int i = 0; i < 45; i++) {
-            world.clock.passSeconds(1);
-            world.checkCancelled();
+            cluster.clock.passSeconds(1);
+            cluster.checkCancelled();
         }
-        world.healStoreLink(old);
-        world.clock.passSeconds(10);
-        assertEquals(0, world.runningTasks());
+        cluster.healStoreLink(old);
+        cluster.clock.passSeconds(10);
+        assertEquals(0, cluster.runningTasks());
     }
 
     @Test
     void runningTasksOutliveAStoreOutage() {
-        SimulatedCluster world = settled(3);
-        world.runMicros.put("req-000017", 35_000_000L);
-        world.submit("n0", jobBody("req-000017"));
-        assertTrue(world.reaches("n0", "req-000017", "running", 60));
-        world.clock.passSeconds(3);
-        world.store.down(true);
-        world.clock.passSeconds(15);
-        assertEquals(4, world.runningTasks());
-        world.store.down(false);
-        assertTrue(world.reaches("n0", "req-000017", "done", 90));
-        assertTrue(world.starts.values().stream().allMatch(count -> count == 1), world.starts.toString());
+        SimulatedCluster cluster = settled(3);
+        cluster.runMicros.put("req-000017", 35_000_000L);
+        cluster.submit("n0", jobBody("req-000017"));
+        assertTrue(cluster.reaches("n0", "req-000017", "running", 60));
+        cluster.clock.passSeconds(3);
+        cluster.store.down(true);
+        cluster.clock.passSeconds(15);
+        assertEquals(4, cluster.runningTasks());
+        cluster.store.down(false);
+        assertTrue(cluster.reaches("n0", "req-000017", "done", 90));
+        assertTrue(cluster.starts.values().stream().allMatch(count -> count == 1), cluster.starts.toString());
     }
 
     @Test
     void isolatedFormerLeaderReleasesNoMachines() {
-        SimulatedCluster world = settled(3);
-        world.runMicros.put("req-000020", 70_000_000L);
-        world.submit("n0", jobBody("req-000020"));
-        assertTrue(world.reaches("n0", "req-000020", "running", 60));
-        world.clock.passSeconds(3);
-        String old = world.leader();
-        int machines = world.cloud.machines().size();
-        world.cutFromStore(old);
-        world.cutFromWorkers(old);
-        world.clock.passSeconds(40);
-        assertEquals(machines, world.cloud.machines().size());
-        assertEquals(4, world.runningTasks());
-        assertTrue(world.starts.values().stream().allMatch(count -> count == 1), world.starts.toString());
+        SimulatedCluster cluster = settled(3);
+        cluster.runMicros.put("req-000020", 70_000_000L);
+        cluster.submit("n0", jobBody("req-000020"));
+        assertTrue(cluster.reaches("n0", "req-000020", "running", 60));
+        cluster.clock.passSeconds(3);
+        String old = cluster.leader();
+        int machines = cluster.cloud.machines().size();
+        cluster.cutFromStore(old);
+        cluster.cutFromWorkers(old);
+        cluster.clock.passSeconds(40);
+        assertEquals(machines, cluster.cloud.machines().size());
+        assertEquals(4, cluster.runningTasks());
+        assertTrue(cluster.starts.values().stream().allMatch(count -> count == 1), cluster.starts.toString());
     }
 
     @Test
     void finishedTasksAreNotRunAgainAfterAFailover() {
-        SimulatedCluster world = settled(2);
+        SimulatedCluster cluster = settled(2);
         for (int i = 0; i < 4; i++) {
-            world.runMicros.put("req-000033/" + i, i < 2 ? 3_000_000L : 40_000_000L);
+            cluster.runMicros.put("req-000033/" + i, i < 2 ? 3_000_000L : 40_000_000L);
         }
-        world.submit("n0", jobBody("req-000033"));
-        assertTrue(world.reaches("n0", "req-000033", "running", 60));
-        world.clock.passSeconds(12);
-        world.killNode(world.leader());
-        world.clock.passSeconds(8);
-        assertTrue(world.reaches(world.leader(), "req-000033", "done", 120));
-        assertTrue(world.starts.values().stream().allMatch(count -> count == 1), world.starts.toString());
+        cluster.submit("n0", jobBody("req-000033"));
+        assertTrue(cluster.reaches("n0", "req-000033", "running", 60));
+        cluster.clock.passSeconds(12);
+        cluster.killNode(cluster.leader());
+        cluster.clock.passSeconds(8);
+        assertTrue(cluster.reaches(cluster.leader(), "req-000033", "done", 120));
+        assertTrue(cluster.starts.values().stream().allMatch(count -> count == 1), cluster.starts.toString());
     }
 
     @Test
     void followersSendWorkersToTheLeader() {
-        SimulatedCluster world = settled(3);
-        String leader = world.leader();
+        SimulatedCluster cluster = settled(3);
+        String leader = cluster.leader();
         for (String node : List.of("n0", "n1", "n2")) {
-            SimulatedCluster.ApiResponse answer = world.request(
+            SimulatedCluster.ApiResponse answer = cluster.request(
                     node,
                     "POST",
                     "/checkin",
@@ -174,65 +174,65 @@
 
     @Test
     void leaderCutFromStoreAndPeersLetsItsWorkersGo() {
-        SimulatedCluster world = settled(3);
-        world.runMicros.put("req-000042", 60_000_000L);
-        world.submit("n0", jobBody("req-000042"));
-        assertTrue(world.reaches("n0", "req-000042", "running", 60));
-        world.clock.passSeconds(3);
-        String old = world.leader();
-        world.cutFromStore(old);
-        world.cutFromPeers(old);
-        world.clock.passSeconds(14);
+        SimulatedCluster cluster = settled(3);
+        cluster.runMicros.put("req-000042", 60_000_000L);
+        cluster.submit("n0", jobBody("req-000042"));
+        assertTrue(cluster.reaches("n0", "req-000042", "running", 60));
+        cluster.clock.passSeconds(3);
+        String old = cluster.leader();
+        cluster.cutFromStore(old);
+        cluster.cutFromPeers(old);
+        cluster.clock.passSeconds(14);
         // Its workers followed the successor before their leases ran out: nothing was lost.
-        assertEquals(4, world.runningTasks());
-        world.workers.values().forEach(worker -> assertEquals(2, worker.fencingToken()));
-        assertTrue(world.starts.values().stream().allMatch(count -> count == 1), world.starts.toString());
-        assertEquals(503, world.request(old, "GET", "/ready", new byte[0]).status());
+        assertEquals(4, cluster.runningTasks());
+        cluster.workers.values().forEach(worker -> assertEquals(2, worker.fencingToken()));
+        assertTrue(cluster.starts.values().stream().allMatch(count -> count == 1), cluster.starts.toString());
+        assertEquals(503, cluster.request(old, "GET", "/ready", new byte[0]).status());
     }
 
     @ParameterizedTest
     @ValueSource(longs = {500, 1_500, 2_500, 3_500, 4_500, 5_500, 6_500, 7_500, 8_500, 9_500, 10_500, 11_500})
     void processBackAtOnceInMidElectionLeadsAndServes(long afterMicros) {
         // What its earlier life had under way is still carried out after its new one began.
-        SimulatedCluster world = new SimulatedCluster(1);
-        world.clock.pass(afterMicros);
-        world.killNode("n0");
-        world.startNode("n0");
-        world.clock.passSeconds(7);
-        assertEquals("n0", world.leader(), "killed after " + afterMicros);
-        assertEquals(201, world.submit("n0", jobBody("req-000049")).status());
-        assertTrue(world.reaches("n0", "req-000049", "done", 60));
-        assertTrue(world.starts.values().stream().allMatch(count -> count == 1), world.starts.toString());
+        SimulatedCluster cluster = new SimulatedCluster(1);
+        cluster.clock.pass(afterMicros);
+        cluster.killNode("n0");
+        cluster.startNode("n0");
+        cluster.clock.passSeconds(7);
+        assertEquals("n0", cluster.leader(), "killed after " + afterMicros);
+        assertEquals(201, cluster.submit("n0", jobBody("req-000049")).status());
+        assertTrue(cluster.reaches("n0", "req-000049", "done", 60));
+        assertTrue(cluster.starts.values().stream().allMatch(count -> count == 1), cluster.starts.toString());
     }
 
     @ParameterizedTest
     @ValueSource(ints = {0, 125, 250, 375, 500, 625, 750, 875})
     void pausedLeaderActsOnNothingThatItBelievedBefore(int millis) {
-        SimulatedCluster world = settled(3);
-        world.runMicros.put("req-000054", 60_000_000L);
-        world.submit("n0", jobBody("req-000054"));
-        assertTrue(world.reaches("n0", "req-000054", "running", 60));
-        world.clock.passSeconds(2);
-        String old = world.leader();
+        SimulatedCluster cluster = settled(3);
+        cluster.runMicros.put("req-000054", 60_000_000L);
+        cluster.submit("n0", jobBody("req-000054"));
+        assertTrue(cluster.reaches("n0", "req-000054", "running", 60));
+        cluster.clock.passSeconds(2);
+        String old = cluster.leader();
         String other = old.equals("n0") ? "n1" : "n0";
         // In the middle of an admission, its write, its first start.
-        world.submit(other, jobBody("req-000055"));
-        world.clock.pass(millis * 1_000);
-        world.pauseNode(old);
-        world.clock.passSeconds(8);
-        assertEquals("cancelled", world.cancel(other, "req-000054").state());
-        world.clock.passSeconds(17);
-        int machines = world.cloud.machines().size();
-        int released = world.cloud.released.size();
-        world.resumeNode(old);
-        world.clock.pass(300_000);
-        assertFalse(world.controller(old).isLeader(), "after " + millis);
-        assertEquals(machines, world.cloud.machines().size());
-        assertEquals(released, world.cloud.released.size());
-        assertEquals("cancelled", world.poll(old, "req-000054").state());
-        world.clock.passSeconds(20);
-        world.checkCancelled();
-        assertTrue(world.reaches(old, "req-000055", "done", 90));
-        assertTrue(world.starts.values().stream().allMatch(count -> count == 1), world.starts.toString());
+        cluster.submit(other, jobBody("req-000055"));
+        cluster.clock.pass(millis * 1_000);
+        cluster.pauseNode(old);
+        cluster.clock.passSeconds(8);
+        assertEquals("cancelled", cluster.cancel(other, "req-000054").state());
+        cluster.clock.passSeconds(17);
+        int machines = cluster.cloud.machines().size();
+        int released = cluster.cloud.released.size();
+        cluster.resumeNode(old);
+        cluster.clock.pass(300_000);
+        assertFalse(cluster.controller(old).isLeader(), "after " + millis);
+        assertEquals(machines, cluster.cloud.machines().size());
+        assertEquals(released, cluster.cloud.released.size());
+        assertEquals("cancelled", cluster.poll(old, "req-000054").state());
+        cluster.clock.passSeconds(20);
+        cluster.checkCancelled();
+        assertTrue(cluster.reaches(old, "req-000055", "done", 90));
+        assertTrue(cluster.starts.values().stream().allMatch(count -> count == 1), cluster.starts.toString());
     }
 }
--- a/src/test/java/org/weldcourse/app/LoweredStoreLimitsTest.java
+++ b/src/test/java/org/weldcourse/app/LoweredStoreLimitsTest.java
@@ -21,11 +21,11 @@
 /** Records of larger limits, when the state service lowers its limits ahead of or during their use. */
 class LoweredStoreLimitsTest {
     /** Lowers the limits once so many commits were sent, and counts all that are. */
-    private static int[] lowerLimitsBefore(SimulatedCluster world, int commit) {
+    private static int[] lowerLimitsBefore(SimulatedCluster cluster, int commit) {
         int[] seen = new int[1];
-        world.network.injectFaults((from, call) -> {
+        cluster.network.injectFaults((from, call) -> {
             if (call.path().equals("/commit") && seen[0]++ == commit) {
-                world.store.limit(4, 768);
+                cluster.store.limit(4, 768);
             }
             return FakeNetwork.NORMAL;
         });
@@ -35,32 +35,33 @@
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2, 3, 5, 8, 10, 13})
     void limitsAreLoweredBetweenAnyTwoCommits(int commits) {
-        SimulatedCluster world = upgradingCluster(1024, 8, new Settings.UpcomingStoreLimits(50, 768, 4));
-        int[] seen = lowerLimitsBefore(world, commits);
-        world.clock.passSeconds(2);
+        SimulatedCluster cluster = upgradingCluster(1024, 8, new Settings.UpcomingStoreLimits(50, 768, 4));
+        int[] seen = lowerLimitsBefore(cluster, commits);
+        cluster.clock.passSeconds(2);
         for (int i = 0; i < 3; i++) {
-            world.cloud.addUnrequested("large", i % 2 == 0 ? "a" : "b", false);
+            cluster.cloud.addUnrequested("large", i % 2 == 0 ? "a" : "b", false);
         }
         for (int i = 0; i < 300; i++) {
-            world.runMicros.put("req-000001/" + i, 2_000_000L + 700_000L * (i % 7));
+            cluster.runMicros.put("req-000001/" + i, 2_000_000L + 700_000L * (i % 7));
         }
         assertEquals(
                 201,
-                world.submit("n0", jobBody("req-000001", "beads", 300, "cpus", 0.5, "mem_gb", 0.5))
+                cluster.submit("n0", jobBody("req-000001", "beads", 300, "cpus", 0.5, "mem_gb", 0.5))
                         .status());
-        world.runMicros.put("req-000002", Long.MAX_VALUE);
+        cluster.runMicros.put("req-000002", Long.MAX_VALUE);
         assertEquals(
                 201,
-                world.submit("n1", jobBody("req-000002", "shape", "service", "rank", "prod", "expected_s", 0.0))
+                cluster.submit("n1", jobBody("req-000002", "shape", "service", "rank", "prod", "expected_s", 0.0))
                         .status());
-        world.clock.passSeconds(20);
-        world.killNode(world.leader());
-        assertTrue(world.reaches(world.alive().get(0), "req-000001", "done", 200));
+        cluster.clock.passSeconds(20);
+        cluster.killNode(cluster.leader());
+        assertTrue(cluster.reaches(cluster.alive().get(0), "req-000001", "done", 200));
         assertTrue(seen[0] > commits);
         assertEquals(
-                "cancelled", world.cancel(world.alive().get(0), "req-000002").state());
-        world.clock.passSeconds(8);
-        assertEquals(0, world.runningTasks());
+                "cancelled",
+                cluster.cancel(cluster.alive().get(0), "req-000002").state());
+        cluster.clock.passSeconds(8);
+        assertEquals(0, cluster.runningTasks());
     }
 
     /** The state service of the tests fails a test that sends it a value or transaction over its limits. */
@@ -78,57 +79,58 @@
      * sweep of what is left.
      */
     private static int commitsOfADayThatLowersLimitsBefore(int commit) {
-        SimulatedCluster world = upgradingCluster(1024, 8, new Settings.UpcomingStoreLimits(50, 768, 4));
-        int[] seen = lowerLimitsBefore(world, commit);
-        world.clock.passSeconds(2);
+        SimulatedCluster cluster = upgradingCluster(1024, 8, new Settings.UpcomingStoreLimits(50, 768, 4));
+        int[] seen = lowerLimitsBefore(cluster, commit);
+        cluster.clock.passSeconds(2);
         for (int i = 0; i < 4; i++) {
-            world.cloud.addUnrequested("large", i % 2 == 0 ? "a" : "b", false);
+            cluster.cloud.addUnrequested("large", i % 2 == 0 ? "a" : "b", false);
         }
-        world.clock.passSeconds(6);
+        cluster.clock.passSeconds(6);
         for (int task = 0; task < 200; task++) {
-            world.runMicros.put("req-000001/" + task, 2_000_000L + 900_000L * (task % 17));
+            cluster.runMicros.put("req-000001/" + task, 2_000_000L + 900_000L * (task % 17));
         }
-        submit(world, "req-000001", "beads", 200, "cpus", 0.5, "mem_gb", 0.5);
-        world.runMicros.put("req-000002", Long.MAX_VALUE);
-        submit(world, "req-000002", "shape", "service", "rank", "prod", "expected_s", 0.0, "cpus", 1.0);
-        world.runMicros.put("req-000003", Long.MAX_VALUE);
-        submit(world, "req-000003", "beads", 6);
+        submit(cluster, "req-000001", "beads", 200, "cpus", 0.5, "mem_gb", 0.5);
+        cluster.runMicros.put("req-000002", Long.MAX_VALUE);
+        submit(cluster, "req-000002", "shape", "service", "rank", "prod", "expected_s", 0.0, "cpus", 1.0);
+        cluster.runMicros.put("req-000003", Long.MAX_VALUE);
+        submit(cluster, "req-000003", "beads", 6);
         for (int job = 4; job < 9; job++) {
-            world.runMicros.put("req-00000" + job, 3_000_000L * job);
-            submit(world, "req-00000" + job, "beads", 2, "shape", job % 2 == 0 ? "ensemble" : "array");
+            cluster.runMicros.put("req-00000" + job, 3_000_000L * job);
+            submit(cluster, "req-00000" + job, "beads", 2, "shape", job % 2 == 0 ? "ensemble" : "array");
         }
-        world.clock.passSeconds(4);
-        assertEquals("cancelled", world.cancel("n1", "req-000003").state());
-        world.workerOf("req-000002/0").freeze(true);
-        world.clock.passSeconds(12);
-        world.killNode(world.leader());
-        String node = world.alive().get(0);
+        cluster.clock.passSeconds(4);
+        assertEquals("cancelled", cluster.cancel("n1", "req-000003").state());
+        cluster.workerOf("req-000002/0").freeze(true);
+        cluster.clock.passSeconds(12);
+        cluster.killNode(cluster.leader());
+        String node = cluster.alive().get(0);
         for (int job : new int[] {1, 4, 5, 6, 7, 8}) {
             assertTrue(
-                    world.reaches(node, "req-00000" + job, "done", 120), "job " + job + " with limits from " + commit);
+                    cluster.reaches(node, "req-00000" + job, "done", 120),
+                    "job " + job + " with limits from " + commit);
         }
         for (int replica = 0; replica < 4; replica++) {
-            assertTrue(world.workerOf("req-000002/" + replica) != null, "replica " + replica);
+            assertTrue(cluster.workerOf("req-000002/" + replica) != null, "replica " + replica);
         }
-        assertEquals("cancelled", world.cancel(node, "req-000002").state());
-        world.clock.passSeconds(20);
-        assertEquals(0, world.runningTasks());
-        assertEquals(List.of(), world.store.keys("slices/"));
+        assertEquals("cancelled", cluster.cancel(node, "req-000002").state());
+        cluster.clock.passSeconds(20);
+        assertEquals(0, cluster.runningTasks());
+        assertEquals(List.of(), cluster.store.keys("slices/"));
         return seen[0];
     }
 
-    private static void submit(SimulatedCluster world, String id, Object... changes) {
-        assertEquals(201, world.submit("n0", jobBody(id, changes)).status());
+    private static void submit(SimulatedCluster cluster, String id, Object... changes) {
+        assertEquals(201, cluster.submit("n0", jobBody(id, changes)).status());
     }
 
     @Test
     void recordsWrittenUnderLargerLimitsAreDividedWhenTheyAreWrittenNext() {
-        SimulatedCluster world = upgradingCluster(4096, 8, new Settings.UpcomingStoreLimits(50, 1024, 4));
+        SimulatedCluster cluster = upgradingCluster(4096, 8, new Settings.UpcomingStoreLimits(50, 1024, 4));
         Map<String, Object> body = jobBody("req-000001", "beads", 800, "cpus", 0.1, "mem_gb", 0.1);
-        world.addExistingJob(body, new BitSet());
-        storeOpenJob(world, body);
+        cluster.addExistingJob(body, new BitSet());
+        storeOpenJob(cluster, body);
         for (int i = 0; i < 2; i++) {
-            world.cloud.addUnrequested("large", "a", false);
+            cluster.cloud.addUnrequested("large", "a", false);
         }
         // Every other task, so that no two make a range: some 1,700 bytes for 400 tasks on two machines.
         StringBuilder even = new StringBuilder("1:0");
@@ -137,7 +139,7 @@
             even.append(',').append(task);
             odd.append(',').append(400 + task);
         }
-        world.store.putRecord(
+        cluster.store.putRecord(
                 "slices/req-000001/0",
                 Json.of(
                         "last",
@@ -148,31 +150,31 @@
                         Map.of("m-000000", even.toString(), "m-000001", odd.toString()),
                         "bits",
                         ""));
-        int before = Json.bytes(world.store.value("slices/req-000001/0")).length;
+        int before = Json.bytes(cluster.store.value("slices/req-000001/0")).length;
         assertTrue(before > 1024);
-        world.store.limit(4, 1024);
+        cluster.store.limit(4, 1024);
         for (int task = 0; task < 800; task++) {
-            world.runMicros.put("req-000001/" + task, task % 10 == 0 ? 2_000_000L : 40_000_000L);
+            cluster.runMicros.put("req-000001/" + task, task % 10 == 0 ? 2_000_000L : 40_000_000L);
         }
-        world.clock.passSeconds(25);
-        BitSet read = finishedTasksAsReadByProduction(world, "req-000001", 800, 4096);
+        cluster.clock.passSeconds(25);
+        BitSet read = finishedTasksAsReadByProduction(cluster, "req-000001", 800, 4096);
         assertTrue(read.cardinality() >= 40, "what is finished is on record: " + read.cardinality());
-        world.killNode(world.leader());
-        assertTrue(world.reaches(world.alive().get(0), "req-000001", "done", 300));
-        assertTrue(world.starts.values().stream().allMatch(count -> count == 1), "none ran again");
+        cluster.killNode(cluster.leader());
+        assertTrue(cluster.reaches(cluster.alive().get(0), "req-000001", "done", 300));
+        assertTrue(cluster.starts.values().stream().allMatch(count -> count == 1), "none ran again");
     }
 
     @Test
     void aJobTooLargeToBeKeptIsRefusedAtOnceAndAKnownOneKeepsItsAnswer() {
-        SimulatedCluster world = upgradingCluster(4096, 8, new Settings.UpcomingStoreLimits(50, 1024, 4));
-        world.clock.passSeconds(2);
+        SimulatedCluster cluster = upgradingCluster(4096, 8, new Settings.UpcomingStoreLimits(50, 1024, 4));
+        cluster.clock.passSeconds(2);
         Map<String, Object> wide = jobBody("req-000001", "blank", "i".repeat(2_000));
-        assertEquals(422, world.submit("n0", wide).status());
-        storeOpenJob(world, wide);
-        world.store.limit(4, 1024);
-        assertEquals(200, world.submit("n1", wide).status());
-        assertEquals("cancelled", world.cancel("n1", "req-000001").state(), "it can be cancelled all the same");
-        world.clock.passSeconds(5);
-        assertEquals("cancelled", world.poll("n0", "req-000001").state());
+        assertEquals(422, cluster.submit("n0", wide).status());
+        storeOpenJob(cluster, wide);
+        cluster.store.limit(4, 1024);
+        assertEquals(200, cluster.submit("n1", wide).status());
+        assertEquals("cancelled", cluster.cancel("n1", "req-000001").state(), "it can be cancelled all the same");
+        cluster.clock.passSeconds(5);
+        assertEquals("cancelled", cluster.poll("n0", "req-000001").state());
     }
 }
