--- a/src/test/java/org/weldcourse/app/AutoscalerTest.java
+++ b/src/test/java/org/weldcourse/app/AutoscalerTest.java
@@ -7,11 +7,11 @@
 import org.junit.jupiter.api.Test;
 import org.weldcourse.simulation.SimulatedCluster;
 
-/** What a leader rents and returns, on whole controllers. */
+/** A new leader must not rent machines again for tasks that run already on machines it has not heard from. */
 class AutoscalerTest {
-    /** Until the workers have reported to it, a new leader sees machines of unknown size that it can't count on. */
+    /** A new leader does not know the free capacity of a machine until that machine's first heartbeat. */
     @Test
-    void newLeaderDoesNotRentAgainForWorkThatRuns() {
+    void newLeaderRentsNoMachinesForRunningTasks() {
         SimulatedCluster cluster = SimulatedCluster.settled(3);
         for (int job = 0; job < 8; job++) {
             String id = String.format("req-%06d", job + 1);
@@ -21,10 +21,12 @@
         cluster.clock.passSeconds(14);
         int running = cluster.runningTasks();
         assertTrue(running >= 20, "running: " + running);
-        int made = cluster.cloud.machinesCreated();
+        int machinesBefore = cluster.cloud.machinesCreated();
         cluster.killNode(cluster.leader());
         cluster.clock.passSeconds(9);
         assertTrue(cluster.runningTasks() >= running / 2);
-        assertTrue(cluster.cloud.machinesCreated() <= made + 2, "rented anew: " + (cluster.cloud.machinesCreated() - made));
+        assertTrue(
+                cluster.cloud.machinesCreated() <= machinesBefore + 2,
+                "machines rented after the failover: " + (cluster.cloud.machinesCreated() - machinesBefore));
     }
 }
--- a/src/test/java/org/weldcourse/app/FailureCombinations.java
+++ b/src/test/java/org/weldcourse/app/FailureCombinations.java
@@ -8,12 +8,12 @@
 import org.weldcourse.simulation.SimulatedCluster;
 
 /**
- * Failures that coincide. The cluster fails a test in which a rule breaks; each test makes sure that its trouble came about. Each
- * script is played twice: as it stands, and with a service in place of each array. The service's replicas must all serve in the
- * end, and are gone once its user cancels it.
+ * Base of the tests of failures that coincide. The simulated cluster fails a test that violates an invariant; each test
+ * checks that its failures took place. Each scenario runs twice: as written, and with a service in place of each array
+ * job. All replicas of such a service must run in the end, and none after its cancellation.
  */
 abstract class FailureCombinations {
-    /** Whether jobs of a script that name no shape are submitted as services instead of arrays. */
+    /** Whether jobs without a shape are submitted as services instead of arrays. */
     boolean arraysAreServices() {
         return false;
     }
@@ -22,23 +22,24 @@
         return new FailureScenario(nodes, arraysAreServices());
     }
 
-    /** Holds up such calls, which get no answer in time, and counts them. */
-    static int[] delayCalls(SimulatedCluster cluster, long micros, BiPredicate<String, HttpClient.Call> which) {
-        int[] held = new int[1];
+    /** Executes the matching calls after a delay, drops their responses, and counts them. */
+    static int[] delayCalls(SimulatedCluster cluster, long micros, BiPredicate<String, HttpClient.Call> matches) {
+        int[] delayed = new int[1];
         cluster.network.injectFaults((from, call) -> {
-            boolean holds = which.test(from, call);
-            held[0] += holds ? 1 : 0;
-            return holds ? micros : FakeNetwork.NORMAL;
+            boolean delays = matches.test(from, call);
+            delayed[0] += delays ? 1 : 0;
+            return delays ? micros : FakeNetwork.NORMAL;
         });
-        return held;
+        return delayed;
     }
 
     static boolean isAdmission(HttpClient.Call call) {
         return isCommitTo(call, "slices/");
     }
 
-    static boolean isCommitTo(HttpClient.Call call, String prefix) {
+    /** Whether the call is a commit whose body contains this key prefix. */
+    static boolean isCommitTo(HttpClient.Call call, String keyPrefix) {
         return call.path().equals("/commit")
-                && new String(Json.bytes(call.body()), StandardCharsets.UTF_8).contains(prefix);
+                && new String(Json.bytes(call.body()), StandardCharsets.UTF_8).contains(keyPrefix);
     }
 }
--- a/src/test/java/org/weldcourse/app/FailureScenario.java
+++ b/src/test/java/org/weldcourse/app/FailureScenario.java
@@ -14,9 +14,9 @@
 import org.weldcourse.http.Json;
 import org.weldcourse.simulation.SimulatedCluster;
 
-/** A script of work and troubles: what was submitted, what was cancelled, and that all of it comes to its end. */
+/** Submits and cancels jobs while a test injects failures, and checks at the end that every job has ended correctly. */
 final class FailureScenario {
-    /** The run time of tasks that go on until their job is cancelled. */
+    /** The run time of tasks that run until their job is cancelled. */
     static final double FOREVER = -2;
 
     private final boolean arraysAreServices;
@@ -25,12 +25,13 @@
     final Map<String, Map<String, Object>> bodies = new LinkedHashMap<>();
     final Set<String> cancelled = new HashSet<>();
 
-    /** Whether jobs that name no shape are submitted as services instead of arrays. */
+    /** With {@code arraysAreServices}, jobs without a shape are submitted as services instead of arrays. */
     FailureScenario(int nodes, boolean arraysAreServices) {
         this.arraysAreServices = arraysAreServices;
         cluster = SimulatedCluster.settled(nodes);
     }
 
+    /** Submits a job, retries until it is accepted, and returns its id. */
     String submit(double runSeconds, Object... changes) {
         String id = String.format("req-%06d", bodies.size() + 1);
         Map<String, Object> body = jobBody(id, changes);
@@ -52,23 +53,24 @@
         throw new AssertionError(id + " was not accepted");
     }
 
-    /** One machine is up, and there is no other to be had. */
+    /** Starts one large machine and leaves the cloud no capacity for another. */
     void limitCloudToOneLargeMachine() {
         cluster.cloud.addUnrequested("large", "a", false);
         cluster.cloud.capacity = 1;
         cluster.clock.passSeconds(7);
     }
 
-    /** Submits it and waits until all its tasks run. */
+    /** Submits a job and waits until all its tasks run. */
     String submitAndAwaitRunning(double runSeconds, Object... changes) {
         String id = submit(runSeconds, changes);
         for (int i = 0; i < 600 && presentTasks(id).size() < taskCount(id); i++) {
             cluster.clock.pass(100_000);
         }
-        assertEquals(taskCount(id), presentTasks(id).size(), id + " runs");
+        assertEquals(taskCount(id), presentTasks(id).size(), "running tasks of " + id);
         return id;
     }
 
+    /** One of the running controllers, in turn for increasing numbers. */
     String aliveNode(int i) {
         List<String> alive = cluster.alive();
         return alive.get(i % alive.size());
@@ -78,14 +80,15 @@
         return ((Number) bodies.get(id).get("beads")).intValue();
     }
 
+    /** The tasks of the job that are on a worker. */
     List<String> presentTasks(String id) {
-        List<String> here = new ArrayList<>();
+        List<String> present = new ArrayList<>();
         for (int i = 0; i < taskCount(id); i++) {
             if (cluster.workerOf(id + "/" + i) != null) {
-                here.add(id + "/" + i);
+                present.add(id + "/" + i);
             }
         }
-        return here;
+        return present;
     }
 
     Set<String> machinesOf(String id) {
@@ -95,6 +98,7 @@
         return machines;
     }
 
+    /** Cancels a job, retries until a node confirms it, and returns the job's state in the answer. */
     String cancel(String id) {
         for (int i = 0; i < 120; i++) {
             SimulatedCluster.ApiResponse answer = cluster.cancel(aliveNode(i), id);
@@ -107,12 +111,12 @@
         throw new AssertionError(id + " could not be cancelled");
     }
 
-    /** Another node than this one. */
+    /** A node other than this one. */
     String peerOf(String node) {
         return node.equals("n0") ? "n1" : "n0";
     }
 
-    /** This node and no other is asked, once, and confirms the cancellation. */
+    /** Cancels a job by a single request to this node, without a retry. */
     void cancelThrough(String node, String id) {
         assertEquals("cancelled", cluster.cancel(node, id).state());
         cancelled.add(id);
@@ -140,7 +144,7 @@
         return Json.integer(cluster.store.value("epoch"), "epoch", 0);
     }
 
-    /** All replicas that the service's team has room for run within the time. */
+    /** Waits until all replicas of the service run. */
     private void awaitAllReplicas(String id, double seconds) {
         cluster.cloud.capacity = 100;
         for (int i = 0; i < seconds * 10 && presentTasks(id).size() < taskCount(id); i++) {
@@ -149,7 +153,10 @@
         assertEquals(taskCount(id), presentTasks(id).size(), "replicas of " + id);
     }
 
-    /** Every job is over within the time, all nodes say the same of it, and nothing of it is left anywhere. */
+    /**
+     * Cancels the services, and checks that every job ends within the time, that all nodes report the same state, and that no
+     * task is left on a machine.
+     */
     void assertAllJobsEnd(double seconds) {
         for (String id : services) {
             if (!cancelled.contains(id)) {
@@ -159,9 +166,9 @@
         services.stream().filter(id -> !cancelled.contains(id)).toList().forEach(this::cancel);
         for (String id : bodies.keySet()) {
             String state = cancelled.contains(id) ? "cancelled" : "done";
-            boolean over = cluster.reaches(aliveNode(0), id, state, seconds);
+            boolean ended = cluster.reaches(aliveNode(0), id, state, seconds);
             assertTrue(
-                    over
+                    ended
                             || cancelled.contains(id)
                                     && "done"
                                             .equals(cluster.poll(aliveNode(0), id)
@@ -181,15 +188,15 @@
         }
     }
 
-    /** Work of all kinds: more than one team's limit, gangs, one zone, tasks that end far apart. */
+    /** Submits jobs of all kinds: beyond a team's limit, gangs, in one zone, apart, and with tasks of very different length. */
     void submitMixedWork() {
-        // A service has to fit the team's limit of 8 CPUs as a whole.
+        // A service is rejected unless all its replicas fit the team's limit of 8 CPUs.
         submit(30, "crew", "capped", "beads", arraysAreServices ? 4 : 10);
         submit(12, "shape", "ensemble", "rank", "urgent", "beads", 3, "cpus", 4.0, "together", true);
         submit(25, "beads", 6, "together", true);
-        String far = submit(20, "beads", 3);
-        cluster.runMicros.put(far + "/0", 2_000_000L);
-        cluster.runMicros.put(far + "/2", 45_000_000L);
+        String uneven = submit(20, "beads", 3);
+        cluster.runMicros.put(uneven + "/0", 2_000_000L);
+        cluster.runMicros.put(uneven + "/2", 45_000_000L);
         submit(15, "beads", 5, "apart", true);
     }
 }
--- a/src/test/java/org/weldcourse/app/IsolatedLeaderTest.java
+++ b/src/test/java/org/weldcourse/app/IsolatedLeaderTest.java
@@ -12,23 +12,27 @@
 import org.weldcourse.simulation.FakeNetwork;
 import org.weldcourse.simulation.SimulatedCluster;
 
-/** A leader that the state service refuses or can't be heard by, and so knows less than users were told. */
+/**
+ * Guards against cancelled tasks that run on. A leader that cannot read the store does not know of a cancellation that
+ * another node has confirmed to the user, while its heartbeat answers would keep the leases of its workers alive.
+ */
 class IsolatedLeaderTest extends FailureCombinations {
     @ParameterizedTest
     @CsvSource({"0.1, 2, false", "1, 2, false", "1.9, 2, false", "0.9, 1, true", "3, 3.5, false", "0.01, 0.5, true"})
-    void storeRefusesTheLeaderAloneAndThenEveryone(double cancelAfter, double outageAfter, boolean hangs) {
+    void cancelledTasksStopWhenStoreRefusesLeaderThenAllNodes(
+            double cancelAfterSeconds, double outageAfterSeconds, boolean workersHang) {
         FailureScenario scenario = scenario(3);
         String id = scenario.submitAndAwaitRunning(FOREVER);
         String other = scenario.submitAndAwaitRunning(FOREVER, "beads", 2);
         SimulatedCluster cluster = scenario.cluster;
-        String old = cluster.leader();
-        cluster.refuseStore(old, true);
+        String oldLeader = cluster.leader();
+        cluster.refuseStore(oldLeader, true);
         long sinceMicros = cluster.clock.nowMicros();
-        cluster.clock.passSeconds(cancelAfter);
-        scenario.cancelThrough(scenario.peerOf(old), id);
-        cluster.clock.pass(sinceMicros + Math.round(outageAfter * 1e6) - cluster.clock.nowMicros());
+        cluster.clock.passSeconds(cancelAfterSeconds);
+        scenario.cancelThrough(scenario.peerOf(oldLeader), id);
+        cluster.clock.pass(sinceMicros + Math.round(outageAfterSeconds * 1e6) - cluster.clock.nowMicros());
         cluster.store.down(true);
-        if (hangs) {
+        if (workersHang) {
             scenario.machinesOf(id)
                     .forEach(machine -> cluster.workers.get(machine).freeze(true));
             cluster.clock.passSeconds(6);
@@ -36,25 +40,25 @@
                     .forEach(machine -> cluster.workers.get(machine).freeze(false));
         }
         cluster.clock.pass(sinceMicros + 18_000_000 - cluster.clock.nowMicros());
-        // The old leader can't know, and keeps its workers' tasks through the outage.
+        // The old leader does not know of the cancellation, and keeps its workers' tasks through the outage.
         assertEquals(4, scenario.presentTasks(id).size());
-        assertEquals(old, cluster.leader());
+        assertEquals(oldLeader, cluster.leader());
         cluster.clock.passSeconds(45);
-        // The cluster would have failed, had they been there 35 s after the confirmation.
+        // The simulated cluster fails the test if a task is still on a machine 35 s after the confirmed cancellation.
         assertEquals(0, cluster.runningTasks());
         cluster.store.down(false);
-        cluster.refuseStore(old, false);
+        cluster.refuseStore(oldLeader, false);
         scenario.cancel(other);
         scenario.assertAllJobsEnd(60);
     }
 
     @Test
-    void leaderWhoseReadsHangWhileItsLeaseIsRenewed() {
+    void cancelledTasksStopWhenLeaderReadsHangWhileLeaseIsRenewed() {
         FailureScenario scenario = scenario(3);
         String id = scenario.submitAndAwaitRunning(FOREVER);
         SimulatedCluster cluster = scenario.cluster;
         String leader = cluster.leader();
-        int[] hung = delayCalls(
+        int[] delayedReads = delayCalls(
                 cluster,
                 60_000_000,
                 (from, call) -> from.equals(leader) && call.path().contains("starts=open/"));
@@ -64,113 +68,117 @@
         assertEquals(leader, cluster.leader());
         assertEquals(4, cluster.runningTasks());
         cluster.clock.passSeconds(25);
-        assertTrue(hung[0] > 0);
-        assertEquals(leader, cluster.leader(), "its lease was renewed all the time");
+        assertTrue(delayedReads[0] > 0);
+        assertEquals(leader, cluster.leader(), "the leader renews its lease throughout");
         assertEquals(0, cluster.runningTasks());
         cluster.network.injectFaults((from, call) -> FakeNetwork.NORMAL);
         scenario.assertAllJobsEnd(60);
     }
 
     @Test
-    void successorThatCanNotReadKeepsNothingAlive() {
+    void cancelledTasksStopWhenNewLeaderCannotReadStore() {
         FailureScenario scenario = scenario(3);
         String id = scenario.submitAndAwaitRunning(FOREVER);
         SimulatedCluster cluster = scenario.cluster;
-        String old = cluster.leader();
-        cluster.refuseStore(old, true);
+        String oldLeader = cluster.leader();
+        cluster.refuseStore(oldLeader, true);
         cluster.clock.pass(500_000);
-        scenario.cancelThrough(scenario.peerOf(old), id);
-        // The old leader kept its workers through an outage of 19 s, and all that is left to the successor is a lease.
+        scenario.cancelThrough(scenario.peerOf(oldLeader), id);
+        // The old leader's workers kept their tasks through the outage of 19 s; the new leader knows none of the
+        // records.
         cluster.store.down(true);
         cluster.clock.passSeconds(19);
         cluster.store.down(false);
         delayCalls(
                 cluster,
                 60_000_000,
-                (from, call) -> !from.equals(old) && call.path().contains("store?starts=open/"));
+                (from, call) -> !from.equals(oldLeader) && call.path().contains("store?starts=open/"));
         cluster.clock.passSeconds(8);
-        assertNotEquals(old, cluster.leader());
+        assertNotEquals(oldLeader, cluster.leader());
         assertEquals(2, scenario.fencingToken());
         assertTrue(cluster.runningTasks() > 0);
         cluster.clock.passSeconds(22);
         assertEquals(0, cluster.runningTasks());
         cluster.network.injectFaults((from, call) -> FakeNetwork.NORMAL);
-        cluster.refuseStore(old, false);
+        cluster.refuseStore(oldLeader, false);
         scenario.assertAllJobsEnd(60);
     }
 
     @Test
-    void successorHaltsWhatWasCancelledBeforeItHasReadAllRecords() {
+    void newLeaderStopsCancelledTasksBeforeAllRecordsAreLoaded() {
         FailureScenario scenario = scenario(2);
         String id = scenario.submitAndAwaitRunning(FOREVER);
-        String stays = scenario.submitAndAwaitRunning(60);
+        String unaffected = scenario.submitAndAwaitRunning(60);
         SimulatedCluster cluster = scenario.cluster;
         cluster.clock.passSeconds(2);
         scenario.killLeader();
         assertEquals("cancelled", scenario.cancel(id));
-        int[] hung = delayCalls(cluster, 60_000_000, (from, call) -> call.path().contains("starts=slices/"));
+        int[] delayedReads =
+                delayCalls(cluster, 60_000_000, (from, call) -> call.path().contains("starts=slices/"));
         scenario.awaitLeader(10);
         cluster.clock.passSeconds(4);
-        assertTrue(hung[0] > 0);
+        assertTrue(delayedReads[0] > 0);
         assertEquals(0, scenario.presentTasks(id).size());
-        // Nobody knows yet what else should run where, and it goes on.
-        assertEquals(4, scenario.presentTasks(stays).size());
+        // The new leader has not loaded the admissions yet, and stops no other task.
+        assertEquals(4, scenario.presentTasks(unaffected).size());
         cluster.network.injectFaults((from, call) -> FakeNetwork.NORMAL);
         scenario.assertAllJobsEnd(90);
         scenario.assertEachTaskStartedOnce();
     }
 
     @Test
-    void leaderCutFromStoreAndPeersButNotFromWorkersAndUsers() {
+    void leaderIsolatedFromStoreAndPeersNeitherServesPollsNorLosesTasks() {
         FailureScenario scenario = scenario(3);
         String id = scenario.submitAndAwaitRunning(FOREVER);
-        String stays = scenario.submitAndAwaitRunning(70);
+        String unaffected = scenario.submitAndAwaitRunning(70);
         SimulatedCluster cluster = scenario.cluster;
-        String old = cluster.leader();
-        cluster.cutFromStore(old);
-        cluster.cutFromPeers(old);
+        String oldLeader = cluster.leader();
+        cluster.cutFromStore(oldLeader);
+        cluster.cutFromPeers(oldLeader);
         cluster.clock.passSeconds(7);
-        String successor = cluster.nodes().stream()
-                .filter(node -> !node.equals(old) && cluster.controller(node).isLeader())
+        String newLeader = cluster.nodes().stream()
+                .filter(node ->
+                        !node.equals(oldLeader) && cluster.controller(node).isLeader())
                 .findFirst()
                 .orElseThrow();
-        assertTrue(cluster.controller(old).isLeader(), "it has heard of nothing");
-        scenario.cancelThrough(successor, id);
-        assertNotEquals(200, cluster.poll(old, id).status());
+        assertTrue(cluster.controller(oldLeader).isLeader(), "the old leader has not noticed the failover");
+        scenario.cancelThrough(newLeader, id);
+        assertNotEquals(200, cluster.poll(oldLeader, id).status());
         cluster.clock.passSeconds(30);
-        assertEquals(4, scenario.presentTasks(stays).size());
-        assertEquals(1, cluster.starts.get(stays + "/0"));
-        cluster.healStoreLink(old);
-        cluster.healPeerLinks(old);
+        assertEquals(4, scenario.presentTasks(unaffected).size());
+        assertEquals(1, cluster.starts.get(unaffected + "/0"));
+        cluster.healStoreLink(oldLeader);
+        cluster.healPeerLinks(oldLeader);
         scenario.assertAllJobsEnd(90);
     }
 
     @ParameterizedTest
     @ValueSource(doubles = {1.6, 2.5, 6})
-    void leaderRefusedByTheStoreStartsNothing(double healsAfter) {
+    void leaderRefusedByStoreStartsNoCancelledTasks(double reachableAfterSeconds) {
         FailureScenario scenario = scenario(3);
         SimulatedCluster cluster = scenario.cluster;
         scenario.limitCloudToOneLargeMachine();
         String machine = cluster.workers.keySet().iterator().next();
-        // What is admitted on it waits for its next report.
+        // Tasks admitted on this machine start with the answer to its next heartbeat.
         cluster.workers.get(machine).freeze(true);
         String id = scenario.submit(FOREVER);
         cluster.clock.pass(300_000);
         assertEquals(1, cluster.store.keys("slices/").size());
-        String old = cluster.leader();
-        cluster.refuseStore(old, true);
+        String oldLeader = cluster.leader();
+        cluster.refuseStore(oldLeader, true);
         cluster.clock.after(2_000_000, () -> cluster.store.down(true));
         cluster.clock.after(
-                Math.round(healsAfter * 1e6), () -> cluster.workers.get(machine).freeze(false));
+                Math.round(reachableAfterSeconds * 1e6),
+                () -> cluster.workers.get(machine).freeze(false));
         cluster.clock.passSeconds(0.7);
-        scenario.cancelThrough(scenario.peerOf(old), id);
-        cluster.clock.passSeconds(healsAfter);
+        scenario.cancelThrough(scenario.peerOf(oldLeader), id);
+        cluster.clock.passSeconds(reachableAfterSeconds);
         cluster.clock.passSeconds(3);
-        assertEquals(old, cluster.leader());
+        assertEquals(oldLeader, cluster.leader());
         assertTrue(cluster.clock.nowMicros() - cluster.workers.get(machine).lastHeartbeatMicros() < 2_000_000);
         assertEquals(0, cluster.startsAfterCancellation());
         cluster.store.down(false);
-        cluster.refuseStore(old, false);
+        cluster.refuseStore(oldLeader, false);
         scenario.assertAllJobsEnd(60);
         assertEquals(0, cluster.startsAfterCancellation());
     }
--- a/src/test/java/org/weldcourse/app/IsolatedLeaderWithServicesTest.java
+++ b/src/test/java/org/weldcourse/app/IsolatedLeaderWithServicesTest.java
@@ -1,6 +1,6 @@
 package org.weldcourse.app;
 
-/** The scripts of {@link IsolatedLeaderTest} with a service in place of each array. */
+/** The scenarios of {@link IsolatedLeaderTest} with a service in place of each array job. */
 class IsolatedLeaderWithServicesTest extends IsolatedLeaderTest {
     @Override
     boolean arraysAreServices() {
--- a/src/test/java/org/weldcourse/app/JobLifecycleTest.java
+++ b/src/test/java/org/weldcourse/app/JobLifecycleTest.java
@@ -13,24 +13,27 @@
 import org.weldcourse.http.Server;
 import org.weldcourse.simulation.SimulatedCluster;
 
-/** What users are told of their jobs, from submission to the end. The cluster fails a test in which a rule of the protocol breaks. */
+/**
+ * The answers that users get about their jobs, from submission to the end. The simulated cluster fails a test in which an
+ * answer contradicts an earlier one or a task runs that must not.
+ */
 class JobLifecycleTest {
     @Test
-    void arrayRunsEveryTaskOnceAndStaysDone() {
+    void arrayJobRunsEachTaskOnceAndStaysDone() {
         SimulatedCluster cluster = settled(3);
         assertEquals(201, cluster.submit("n0", jobBody("req-000001")).status());
         assertTrue(cluster.reaches("n1", "req-000001", "done", 60));
         assertEquals(4, cluster.starts.size());
         assertTrue(cluster.starts.values().stream().allMatch(count -> count == 1));
-        SimulatedCluster.ApiResponse again = cluster.submit("n2", jobBody("req-000001"));
-        assertEquals(200, again.status());
-        assertEquals("done", again.state());
+        SimulatedCluster.ApiResponse repeated = cluster.submit("n2", jobBody("req-000001"));
+        assertEquals(200, repeated.status());
+        assertEquals("done", repeated.state());
         assertEquals(List.of(), cluster.store.keys("open/"));
         assertEquals(List.of(), cluster.store.keys("slices/"));
     }
 
     @Test
-    void refusesWhatCanNeverRunAndWhatIsMalformed() {
+    void unsatisfiableOrMalformedSubmissionIsRejected() {
         SimulatedCluster cluster = settled(1);
         assertEquals(
                 422,
@@ -53,7 +56,7 @@
     }
 
     @Test
-    void submissionIsRefusedAtOnceDuringAStoreOutage() {
+    void submissionFailsFastDuringStoreOutage() {
         SimulatedCluster cluster = settled(1);
         cluster.store.down(true);
         long beforeMicros = cluster.clock.nowMicros();
@@ -64,22 +67,22 @@
     }
 
     @Test
-    void lostCommitAnswerIsReadBackNotGuessed() {
+    void jobWithLostCommitResponseIsNotSubmittedTwice() {
         SimulatedCluster cluster = settled(1);
         cluster.loseResponses("n0", true);
         Map<String, Object> job = jobBody("req-000011");
-        SimulatedCluster.ApiResponse lost = cluster.submit("n0", job);
-        assertNotEquals(404, lost.status());
+        SimulatedCluster.ApiResponse unconfirmed = cluster.submit("n0", job);
+        assertNotEquals(404, unconfirmed.status());
         cluster.loseResponses("n0", false);
         cluster.clock.passSeconds(10);
-        // Carried out although nobody heard so: a repeat finds it and it runs once.
+        // The commit took effect although its response was lost: a repeated submission finds the job, and it runs once.
         assertEquals(200, cluster.submit("n0", job).status());
         assertTrue(cluster.reaches("n0", "req-000011", "done", 90));
         assertTrue(cluster.starts.values().stream().allMatch(count -> count == 1));
     }
 
     @Test
-    void cancelledJobLeavesEveryMachineAndStaysCancelled() {
+    void cancelledJobStopsOnAllMachinesAndStaysCancelled() {
         SimulatedCluster cluster = settled(3);
         cluster.runMicros.put("req-000012", Long.MAX_VALUE);
         cluster.submit("n0", jobBody("req-000012"));
@@ -94,7 +97,7 @@
     }
 
     @Test
-    void cancelAfterTheEndSaysDone() {
+    void cancellingFinishedJobReportsDone() {
         SimulatedCluster cluster = settled(1);
         cluster.submit("n0", jobBody("req-000013"));
         assertTrue(cluster.reaches("n0", "req-000013", "done", 60));
@@ -103,7 +106,7 @@
     }
 
     @Test
-    void jobThatFailsEverywhereDoesNotSpin() {
+    void alwaysFailingJobIsRetriedWithBackoff() {
         SimulatedCluster cluster = settled(1);
         cluster.runMicros.put("req-000031", -1L);
         cluster.submit("n0", jobBody("req-000031", "beads", 1));
@@ -115,7 +118,7 @@
     }
 
     @Test
-    void serviceRunsUntilItsUserEndsIt() {
+    void serviceRunsUntilCancelled() {
         SimulatedCluster cluster = settled(1);
         cluster.submit("n0", jobBody("req-000034", "shape", "service", "beads", 2, "expected_s", 0.0));
         assertTrue(cluster.reaches("n0", "req-000034", "running", 60));
@@ -127,7 +130,7 @@
     }
 
     @Test
-    void pollsShareOneReadAndAreNeverOlderThanTheQuestion() {
+    void pollsShareOneReadAndReturnNoStaleState() {
         SimulatedCluster cluster = settled(2);
         cluster.cloud.capacity = 0;
         for (int i = 0; i < 40; i++) {
@@ -136,11 +139,11 @@
                     cluster.submit("n0", jobBody(String.format("req-%06d", 500 + i)))
                             .status());
         }
-        // What one node accepted or was told to cancel, another knows at once.
+        // A submission or cancellation confirmed by one node is visible on the other at once.
         assertEquals("queued", cluster.poll("n1", "req-000539").state());
         assertEquals("cancelled", cluster.cancel("n0", "req-000520").state());
         assertEquals("cancelled", cluster.poll("n1", "req-000520").state());
-        int before = cluster.store.requests();
+        int requestsBefore = cluster.store.requests();
         int[] answered = new int[1];
         for (int i = 0; i < 40; i++) {
             cluster.controller("n1")
@@ -151,12 +154,14 @@
         }
         cluster.clock.passSeconds(1);
         assertEquals(40, answered[0]);
-        // The rest are the nodes' own: renewals, pulses and the like.
-        assertTrue(cluster.store.requests() - before < 16, "requests: " + (cluster.store.requests() - before));
+        // The other requests are the nodes' own, such as lease renewals and peer status.
+        assertTrue(
+                cluster.store.requests() - requestsBefore < 16,
+                "requests: " + (cluster.store.requests() - requestsBefore));
     }
 
     @Test
-    void nodeThatFellTooFarBehindReadsAllAgain() {
+    void nodeReloadsAllRecordsWhenStoreHistoryIsGone() {
         SimulatedCluster cluster = settled(2);
         cluster.cloud.capacity = 0;
         cluster.submit("n0", jobBody("req-000046"));
@@ -172,7 +177,7 @@
     }
 
     @Test
-    void everyQuestionIsAnsweredSoonAfterAllTroubles() {
+    void pollsAreAnsweredAfterCombinedFailures() {
         SimulatedCluster cluster = settled(3);
         for (int i = 0; i < 12; i++) {
             assertEquals(
@@ -181,7 +186,8 @@
                             .status());
         }
         cluster.cancel("n1", "req-000705");
-        // Together: the state service is down, a leader is cut off, all processes end, and changes are forgotten.
+        // Four failures overlap: the leader is cut off, the store is down, all controllers restart, and the store drops
+        // its history.
         cluster.cutFromStore(cluster.leader());
         cluster.clock.passSeconds(5);
         cluster.store.down(true);
--- a/src/test/java/org/weldcourse/app/LateWritesTest.java
+++ b/src/test/java/org/weldcourse/app/LateWritesTest.java
@@ -18,7 +18,7 @@
 class LateWritesTest extends FailureCombinations {
     @ParameterizedTest
     @CsvSource({"false, 1", "false, 2", "false, 3", "true, 1", "true, 2", "true, 3"})
-    void commitsWithoutAnAnswer(boolean atOnce, int seed) {
+    void jobsSurviveCommitsWithoutResponse(boolean atOnce, int seed) {
         FailureScenario scenario = scenario(3);
         SimulatedCluster cluster = scenario.cluster;
         Random random = new Random(seed);
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void lateAdmissionOfADeadLeaderIsFenced() {
+    void delayedAdmissionOfDeadLeaderIsFenced() {
         FailureScenario scenario = scenario(2);
         SimulatedCluster cluster = scenario.cluster;
         scenario.limitCloudToOneLargeMachine();
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void lateCommitDoesNotOverwriteANewerOne() {
+    void delayedCommitDoesNotOverwriteNewerOne() {
         FailureScenario scenario = scenario(2);
         SimulatedCluster cluster = scenario.cluster;
         scenario.limitCloudToOneLargeMachine();
@@ -98,7 +98,7 @@
     }
 
     @Test
-    void cancellationPollAndRepeatedSubmissionMeetTheEndOfTheLastTask() {
+    void cancellationPollAndResubmissionRaceWithEndOfLastTask() {
         long[] closedMicros = new long[1];
         Set<String> states = new HashSet<>();
         // The first day tells when the job is closed; on the others, all alike, its user cancels around that moment.
@@ -145,7 +145,7 @@
     }
 
     @Test
-    void everyNodeIsPolledWithinMillisecondsOfAChange() {
+    void pollsRightAfterChangesReturnNoStaleState() {
         FailureScenario scenario = scenario(3);
         SimulatedCluster cluster = scenario.cluster;
         int asked = 0;
@@ -172,7 +172,7 @@
     }
 
     @Test
-    void oneTaskJobsFourASecondAQuarterOfThemCancelled() {
+    void storeRequestsPerShortJobAreBounded() {
         FailureScenario scenario = scenario(3);
         SimulatedCluster cluster = scenario.cluster;
         int before = cluster.store.writes();
@@ -208,7 +208,7 @@
     }
 
     @Test
-    void overloadWithPreemptionOverSlowLinks() {
+    void urgentGangPreemptsUnderOverloadWithSlowStore() {
         FailureScenario scenario = scenario(3);
         SimulatedCluster cluster = scenario.cluster;
         cluster.cloud.capacity = 2;
--- a/src/test/java/org/weldcourse/app/LateWritesWithServicesTest.java
+++ b/src/test/java/org/weldcourse/app/LateWritesWithServicesTest.java
@@ -11,11 +11,11 @@
     }
 
     @Override
-    void cancellationPollAndRepeatedSubmissionMeetTheEndOfTheLastTask() {}
+    void cancellationPollAndResubmissionRaceWithEndOfLastTask() {}
 
     @Override
-    void everyNodeIsPolledWithinMillisecondsOfAChange() {}
+    void pollsRightAfterChangesReturnNoStaleState() {}
 
     @Override
-    void oneTaskJobsFourASecondAQuarterOfThemCancelled() {}
+    void storeRequestsPerShortJobAreBounded() {}
 }
--- a/src/test/java/org/weldcourse/app/LeaderFailoverTest.java
+++ b/src/test/java/org/weldcourse/app/LeaderFailoverTest.java
@@ -17,7 +17,7 @@
 /** Elections, failover and leaders that are cut off: running tasks outlive all of them. */
 class LeaderFailoverTest {
     @Test
-    void failoverKeepsRunningTasksWithoutStartingThemAgain() {
+    void failoverDoesNotRestartRunningTasks() {
         SimulatedCluster cluster = settled(3);
         cluster.runMicros.put("req-000014", 40_000_000L);
         cluster.submit("n0", jobBody("req-000014"));
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void allControllersRestartAndNothingIsForgotten() {
+    void jobsSurviveRestartOfAllControllers() {
         SimulatedCluster cluster = settled(3);
         cluster.runMicros.put("req-000015", 30_000_000L);
         cluster.submit("n0", jobBody("req-000015"));
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void restartedLeaderNeedNotWaitForItsOwnLeaseToExpire() {
+    void restartedLeaderReacquiresItsOwnLeaseAtOnce() {
         SimulatedCluster cluster = settled(1);
         cluster.killNode("n0");
         cluster.startNode("n0");
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void leaderCutFromTheStoreStepsDownAndItsWorkersFollowTheSuccessor() {
+    void leaderCutFromStoreStepsDownAndWorkersFollowNewLeader() {
         SimulatedCluster cluster = settled(3);
         cluster.runMicros.put("req-000016", 60_000_000L);
         cluster.submit("n0", jobBody("req-000016"));
@@ -89,7 +89,7 @@
     }
 
     @Test
-    void runningTasksOutliveAStoreOutage() {
+    void runningTasksSurviveStoreOutage() {
         SimulatedCluster cluster = settled(3);
         cluster.runMicros.put("req-000017", 35_000_000L);
         cluster.submit("n0", jobBody("req-000017"));
@@ -121,7 +121,7 @@
     }
 
     @Test
-    void finishedTasksAreNotRunAgainAfterAFailover() {
+    void finishedTasksAreNotRerunAfterFailover() {
         SimulatedCluster cluster = settled(2);
         for (int i = 0; i < 4; i++) {
             cluster.runMicros.put("req-000033/" + i, i < 2 ? 3_000_000L : 40_000_000L);
@@ -136,7 +136,7 @@
     }
 
     @Test
-    void followersSendWorkersToTheLeader() {
+    void standbysRedirectWorkersToLeader() {
         SimulatedCluster cluster = settled(3);
         String leader = cluster.leader();
         for (String node : List.of("n0", "n1", "n2")) {
@@ -173,7 +173,7 @@
     }
 
     @Test
-    void leaderCutFromStoreAndPeersLetsItsWorkersGo() {
+    void workersOfLeaderCutFromStoreAndPeersFollowNewLeader() {
         SimulatedCluster cluster = settled(3);
         cluster.runMicros.put("req-000042", 60_000_000L);
         cluster.submit("n0", jobBody("req-000042"));
@@ -192,7 +192,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {500, 1_500, 2_500, 3_500, 4_500, 5_500, 6_500, 7_500, 8_500, 9_500, 10_500, 11_500})
-    void processBackAtOnceInMidElectionLeadsAndServes(long afterMicros) {
+    void controllerRestartedDuringElectionLeadsAndServes(long afterMicros) {
         // What its earlier life had under way is still carried out after its new one began.
         SimulatedCluster cluster = new SimulatedCluster(1);
         cluster.clock.pass(afterMicros);
@@ -207,7 +207,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = {0, 125, 250, 375, 500, 625, 750, 875})
-    void pausedLeaderActsOnNothingThatItBelievedBefore(int millis) {
+    void resumedLeaderDoesNotActOnStaleState(int millis) {
         SimulatedCluster cluster = settled(3);
         cluster.runMicros.put("req-000054", 60_000_000L);
         cluster.submit("n0", jobBody("req-000054"));
--- a/src/test/java/org/weldcourse/app/LoweredStoreLimitsTest.java
+++ b/src/test/java/org/weldcourse/app/LoweredStoreLimitsTest.java
@@ -34,7 +34,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2, 3, 5, 8, 10, 13})
-    void limitsAreLoweredBetweenAnyTwoCommits(int commits) {
+    void jobsFinishWhenLimitsAreLoweredBetweenCommits(int commits) {
         SimulatedCluster cluster = upgradingCluster(1024, 8, new Settings.UpcomingStoreLimits(50, 768, 4));
         int[] seen = lowerLimitsBefore(cluster, commits);
         cluster.clock.passSeconds(2);
@@ -66,9 +66,9 @@
 
     /** The state service of the tests fails a test that sends it a value or transaction over its limits. */
     @Test
-    void limitsAreLoweredBeforeEachCommitOfAWholeDay() {
+    void noWriteExceedsLimitsLoweredBeforeAnyCommit() {
         int commits = 0;
-        while (commitsOfADayThatLowersLimitsBefore(commits) > commits) {
+        while (runScenarioLoweringLimitsBefore(commits) > commits) {
             commits++;
         }
         assertTrue(commits > 40, "commits of a day: " + commits);
@@ -78,7 +78,7 @@
      * Arrays that end bit by bit, a cancellation, a machine with replicas lost, an election, the end of a service and the
      * sweep of what is left.
      */
-    private static int commitsOfADayThatLowersLimitsBefore(int commit) {
+    private static int runScenarioLoweringLimitsBefore(int commit) {
         SimulatedCluster cluster = upgradingCluster(1024, 8, new Settings.UpcomingStoreLimits(50, 768, 4));
         int[] seen = lowerLimitsBefore(cluster, commit);
         cluster.clock.passSeconds(2);
@@ -124,7 +124,7 @@
     }
 
     @Test
-    void recordsWrittenUnderLargerLimitsAreDividedWhenTheyAreWrittenNext() {
+    void oversizedRecordsAreSplitOnNextWrite() {
         SimulatedCluster cluster = upgradingCluster(4096, 8, new Settings.UpcomingStoreLimits(50, 1024, 4));
         Map<String, Object> body = jobBody("req-000001", "beads", 800, "cpus", 0.1, "mem_gb", 0.1);
         cluster.addExistingJob(body, new BitSet());
@@ -165,7 +165,7 @@
     }
 
     @Test
-    void aJobTooLargeToBeKeptIsRefusedAtOnceAndAKnownOneKeepsItsAnswer() {
+    void oversizedSubmissionIsRejectedUnlessJobIsKnown() {
         SimulatedCluster cluster = upgradingCluster(4096, 8, new Settings.UpcomingStoreLimits(50, 1024, 4));
         cluster.clock.passSeconds(2);
         Map<String, Object> wide = jobBody("req-000001", "blank", "i".repeat(2_000));
--- a/src/test/java/org/weldcourse/app/MachineFailureTest.java
+++ b/src/test/java/org/weldcourse/app/MachineFailureTest.java
@@ -13,7 +13,7 @@
 /** Machines that hang, end, announce their end or are faulty, and a cloud that fails. */
 class MachineFailureTest {
     @Test
-    void silentMachineIsReleasedBeforeItsTasksRunElsewhere() {
+    void unresponsiveMachineIsReleasedBeforeItsTasksRunElsewhere() {
         SimulatedCluster cluster = settled(1);
         cluster.runMicros.put("req-000018", 30_000_000L);
         cluster.submit("n0", jobBody("req-000018", "beads", 2));
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void silentMachineKeepsItsTasksWhileTheCloudCannotConfirm() {
+    void tasksOfUnresponsiveMachineDoNotRestartBeforeReleaseIsConfirmed() {
         SimulatedCluster cluster = settled(1);
         cluster.runMicros.put("req-000019", 30_000_000L);
         cluster.submit("n0", jobBody("req-000019", "beads", 1));
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void newIncarnationMeansTheTasksAreGoneAndRunAgain() {
+    void tasksLostWithWorkerIncarnationRunAgain() {
         SimulatedCluster cluster = settled(1);
         cluster.runMicros.put("req-000021", 20_000_000L);
         cluster.submit("n0", jobBody("req-000021", "beads", 1));
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void machineThatNeverComesUpIsReleased() {
+    void machineThatNeverReportsIsReleased() {
         SimulatedCluster cluster = settled(1);
         cluster.submit("n0", jobBody("req-000022"));
         cluster.clock.passSeconds(3);
@@ -80,7 +80,7 @@
     }
 
     @Test
-    void preemptionNoticeDrainsTheMachineBeforeItGoes() {
+    void preemptionNoticeDrainsMachineBeforeItIsReclaimed() {
         SimulatedCluster cluster = settled(1);
         cluster.runMicros.put("req-000023", 20_000_000L);
         cluster.submit("n0", jobBody("req-000023", "beads", 1, "expected_s", 100.0));
@@ -94,7 +94,7 @@
     }
 
     @Test
-    void machinePreemptedAsAnnouncedFreesItsTasksAtOnce() {
+    void tasksOfReclaimedSpotMachineRestartAtOnce() {
         SimulatedCluster cluster = settled(1);
         cluster.runMicros.put("req-000037", 20_000_000L);
         cluster.submit("n0", jobBody("req-000037", "beads", 1, "expected_s", 1.0));
@@ -110,7 +110,7 @@
     }
 
     @Test
-    void faultyMachineIsReleasedAndTheWorkFinishes() {
+    void machineOnWhichTasksFailIsReleasedAndJobsFinish() {
         SimulatedCluster cluster = settled(1);
         String bad = cluster.cloud.addUnrequested("large", "a", false);
         cluster.clock.passSeconds(6);
@@ -127,7 +127,7 @@
     }
 
     @Test
-    void cloudOutageDoesNotBlindAFreshNode() {
+    void controllerStartedDuringCloudOutageKnowsMachineTypes() {
         SimulatedCluster cluster = settled(2);
         cluster.cloud.down(true);
         cluster.killNode("n1");
@@ -139,7 +139,7 @@
     }
 
     @Test
-    void machineThatHearsNothingSwallowsNoWork() {
+    void machineThatReceivesNoCommandsDoesNotBlockTasks() {
         SimulatedCluster cluster = settled(1);
         String deaf = cluster.cloud.addUnrequested("large", "a", true);
         cluster.clock.passSeconds(7);
@@ -152,7 +152,7 @@
     }
 
     @Test
-    void nonsenseFromTheCloudStopsNothing() {
+    void invalidCloudResponsesDoNotStopScheduling() {
         SimulatedCluster cluster = settled(1);
         cluster.cloud.sendMalformedResponses(true);
         cluster.submit("n0", jobBody("req-000052"));
@@ -162,7 +162,7 @@
     }
 
     @Test
-    void machineBackAtOnceLosesNoJob() {
+    void jobSurvivesImmediateMachineRestart() {
         SimulatedCluster cluster = settled(1);
         cluster.runMicros.put("req-000053", 20_000_000L);
         cluster.submit("n0", jobBody("req-000053"));
--- a/src/test/java/org/weldcourse/app/MainTest.java
+++ b/src/test/java/org/weldcourse/app/MainTest.java
@@ -12,7 +12,7 @@
 /** The platform's own call leaves picocli out; it has to mean what picocli would make of it, and nothing else may. */
 class MainTest {
     @Test
-    void thePlatformsCallMeansWhatPicocliMakesOfIt() {
+    void platformInvocationIsParsedTheSameByPicocli() {
         String[] call = {"--config", "/etc/settings.toml"};
         assertTrue(Main.isPlatformInvocation(call));
         ParseResult parsed = CommandLineModel.commandLine().parseArgs(call);
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void everythingElseIsReadByPicocli() {
+    void otherInvocationsAreParsedByPicocli() {
         for (String[] call : new String[][] {
             {},
             {"--config"},
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void aWrongCommandLineAndWrongSettingsEndWithTheSameCode() {
+    void invalidCommandLineAndInvalidSettingsExitWithUsageError() {
         for (String[] call : new String[][] {
             {"--what"},
             {},
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void aWrongCommandLineSaysWhatIsWrong() {
+    void invalidCommandLineIsNamedInTheError() {
         for (String[] call : new String[][] {
             {"--what", "Unknown option: '--what' (see --help)"},
             {"check", "--config FILE is needed (see --help)"},
@@ -63,7 +63,7 @@
     }
 
     @Test
-    void helpAndVersionAreNoErrors() {
+    void helpAndVersionExitWithZero() {
         assertEquals(0, Main.run(new String[] {"--help"}));
         assertEquals(0, Main.run(new String[] {"check", "--help"}));
         assertEquals(0, Main.run(new String[] {"--version"}));
