--- a/src/test/java/org/weldcourse/app/FailureScenario.java
+++ b/src/test/java/org/weldcourse/app/FailureScenario.java
@@ -154,8 +154,8 @@
     }
 
     /**
-     * Cancels the services, and checks that every job ends within the time, that all nodes report the same state, and that no
-     * task is left on a machine.
+     * Cancels the services, and checks that every job ends within the time, that all nodes report the same state, and
+     * that no task is left on a machine.
      */
     void assertAllJobsEnd(double seconds) {
         for (String id : services) {
@@ -188,7 +188,7 @@
         }
     }
 
-    /** Submits jobs of all kinds: beyond a team's limit, gangs, in one zone, apart, and with tasks of very different length. */
+    /** Submits jobs beyond a team's limit, gangs, jobs in one zone or spread out, and one with tasks of unequal length. */
     void submitMixedWork() {
         // A service is rejected unless all its replicas fit the team's limit of 8 CPUs.
         submit(30, "crew", "capped", "beads", arraysAreServices ? 4 : 10);
--- a/src/test/java/org/weldcourse/app/IsolatedLeaderTest.java
+++ b/src/test/java/org/weldcourse/app/IsolatedLeaderTest.java
@@ -84,8 +84,8 @@
         cluster.refuseStore(oldLeader, true);
         cluster.clock.pass(500_000);
         scenario.cancelThrough(scenario.peerOf(oldLeader), id);
-        // The old leader's workers kept their tasks through the outage of 19 s; the new leader knows none of the
-        // records.
+        // The old leader's workers kept their tasks through the outage of 19 s. The new leader holds the
+        // lease but cannot read any record.
         cluster.store.down(true);
         cluster.clock.passSeconds(19);
         cluster.store.down(false);
--- a/src/test/java/org/weldcourse/app/JobLifecycleTest.java
+++ b/src/test/java/org/weldcourse/app/JobLifecycleTest.java
@@ -14,8 +14,8 @@
 import org.weldcourse.simulation.SimulatedCluster;
 
 /**
- * The answers that users get about their jobs, from submission to the end. The simulated cluster fails a test in which an
- * answer contradicts an earlier one or a task runs that must not.
+ * The answers that users get about their jobs, from submission to the end. The simulated cluster fails a test in which
+ * an answer contradicts an earlier one or a task runs that must not.
  */
 class JobLifecycleTest {
     @Test
--- a/src/test/java/org/weldcourse/app/LateWritesTest.java
+++ b/src/test/java/org/weldcourse/app/LateWritesTest.java
@@ -14,26 +14,29 @@
 import org.weldcourse.simulation.FakeNetwork;
 import org.weldcourse.simulation.SimulatedCluster;
 
-/** Commits that are late or unanswered, and requests that meet them. */
+/**
+ * Commits that take effect late or whose response is lost, and requests that race with them. A late commit of a former
+ * leader must be fenced, and one that was overtaken must not overwrite newer records.
+ */
 class LateWritesTest extends FailureCombinations {
     @ParameterizedTest
     @CsvSource({"false, 1", "false, 2", "false, 3", "true, 1", "true, 2", "true, 3"})
-    void jobsSurviveCommitsWithoutResponse(boolean atOnce, int seed) {
+    void jobsSurviveCommitsWithoutResponse(boolean appliedAtOnce, int seed) {
         FailureScenario scenario = scenario(3);
         SimulatedCluster cluster = scenario.cluster;
         Random random = new Random(seed);
-        int[] lost = new int[1];
+        int[] unanswered = new int[1];
         cluster.network.injectFaults((from, call) -> {
             if (!call.path().equals("/commit") || random.nextInt(10) >= 4) {
                 return FakeNetwork.NORMAL;
             }
-            lost[0]++;
-            return atOnce ? FakeNetwork.RESPONSE_LOST : 2_000_000 + random.nextInt(10_000_000);
+            unanswered[0]++;
+            return appliedAtOnce ? FakeNetwork.RESPONSE_LOST : 2_000_000 + random.nextInt(10_000_000);
         });
         scenario.submitMixedWork();
         for (int i = 0; i < 12; i++) {
             String id = scenario.submit(1 + random.nextInt(8), "beads", 1 + random.nextInt(4));
-            // Others read what was written while its writer waits.
+            // Other nodes read the record while the node that wrote it still waits for the response.
             cluster.alive().forEach(node -> cluster.pollAsync(node, id));
             cluster.clock.pass(random.nextInt(2_000_000));
             if (i % 3 == 0) {
@@ -41,12 +44,12 @@
                 cluster.alive().forEach(node -> cluster.pollAsync(node, id));
             }
             if (i == 7) {
-                String ended = scenario.killLeader();
+                String killed = scenario.killLeader();
                 cluster.clock.passSeconds(1);
-                cluster.startNode(ended);
+                cluster.startNode(killed);
             }
         }
-        assertTrue(lost[0] > 10, "lost: " + lost[0]);
+        assertTrue(unanswered[0] > 10, "commits without response: " + unanswered[0]);
         cluster.clock.passSeconds(20);
         cluster.network.injectFaults((from, call) -> FakeNetwork.NORMAL);
         cluster.clock.passSeconds(13);
@@ -58,12 +61,12 @@
         FailureScenario scenario = scenario(2);
         SimulatedCluster cluster = scenario.cluster;
         scenario.limitCloudToOneLargeMachine();
-        int[] late = new int[1];
+        int[] admissions = new int[1];
         cluster.network.injectFaults(
-                (from, call) -> isAdmission(call) && late[0]++ == 0 ? 9_000_000 : FakeNetwork.NORMAL);
+                (from, call) -> isAdmission(call) && admissions[0]++ == 0 ? 9_000_000 : FakeNetwork.NORMAL);
         scenario.submit(10);
         cluster.clock.pass(200_000);
-        assertEquals(1, late[0]);
+        assertEquals(1, admissions[0]);
         scenario.killLeader();
         cluster.workers.values().forEach(worker -> worker.freeze(true));
         scenario.awaitLeader(8);
@@ -78,9 +81,9 @@
         FailureScenario scenario = scenario(2);
         SimulatedCluster cluster = scenario.cluster;
         scenario.limitCloudToOneLargeMachine();
-        int[] late = new int[1];
+        int[] admissions = new int[1];
         cluster.network.injectFaults(
-                (from, call) -> isAdmission(call) && late[0]++ == 0 ? 12_000_000 : FakeNetwork.NORMAL);
+                (from, call) -> isAdmission(call) && admissions[0]++ == 0 ? 12_000_000 : FakeNetwork.NORMAL);
         String id = scenario.submit(40, "beads", 12);
         cluster.clock.passSeconds(3);
         assertEquals(8, scenario.presentTasks(id).size());
@@ -88,8 +91,10 @@
         cluster.cloud.addUnrequested("large", "a", false);
         cluster.clock.passSeconds(7);
         assertEquals(
-                12, scenario.presentTasks(id).size(), "a second admission is on record before the first comes late");
-        assertTrue(late[0] >= 3);
+                12,
+                scenario.presentTasks(id).size(),
+                "a second admission is recorded before the delayed first one arrives");
+        assertTrue(admissions[0] >= 3);
         cluster.clock.passSeconds(4);
         scenario.killLeader();
         scenario.awaitLeader(8);
@@ -99,26 +104,27 @@
 
     @Test
     void cancellationPollAndResubmissionRaceWithEndOfLastTask() {
-        long[] closedMicros = new long[1];
+        long[] endCommittedMicros = new long[1];
         Set<String> states = new HashSet<>();
-        // The first day tells when the job is closed; on the others, all alike, its user cancels around that moment.
+        // The first run finds the time at which the end is committed; each later run cancels at an offset from it.
         for (long offsetMicros = -6_500; offsetMicros <= 5_000; offsetMicros += 500) {
             FailureScenario scenario = scenario(2);
             SimulatedCluster cluster = scenario.cluster;
             String id = scenario.submitAndAwaitRunning(8, "beads", 1);
-            if (closedMicros[0] == 0) {
+            if (endCommittedMicros[0] == 0) {
                 cluster.network.injectFaults((from, call) -> {
-                    closedMicros[0] = isCommitTo(call, "final/") ? cluster.clock.nowMicros() : closedMicros[0];
+                    endCommittedMicros[0] =
+                            isCommitTo(call, "final/") ? cluster.clock.nowMicros() : endCommittedMicros[0];
                     return FakeNetwork.NORMAL;
                 });
                 cluster.clock.passSeconds(15);
-                assertTrue(closedMicros[0] > 0);
+                assertTrue(endCommittedMicros[0] > 0);
                 continue;
             }
-            cluster.clock.pass(closedMicros[0] + offsetMicros - cluster.clock.nowMicros());
+            cluster.clock.pass(endCommittedMicros[0] + offsetMicros - cluster.clock.nowMicros());
             cluster.alive().forEach(node -> cluster.pollAsync(node, id));
             SimulatedCluster.ApiResponse answer = cluster.cancel("n1", id);
-            assertEquals(200, answer.status(), "at once, " + offsetMicros + " from the end: " + answer);
+            assertEquals(200, answer.status(), "cancellation " + offsetMicros + " us from the end: " + answer);
             states.add(answer.state());
             if ("cancelled".equals(answer.state())) {
                 scenario.cancelled.add(id);
@@ -132,26 +138,27 @@
         assertEquals(Set.of("done", "cancelled"), states);
     }
 
-    private static int pollAllWithinMilliseconds(SimulatedCluster cluster, String id) {
-        int asked = 0;
+    /** Polls all nodes ten times in rapid succession, and returns the number of polls. */
+    private static int pollAllNodesRepeatedly(SimulatedCluster cluster, String id) {
+        int polls = 0;
         for (int step = 0; step < 10; step++) {
             for (String node : cluster.alive()) {
                 cluster.pollAsync(node, id);
-                asked++;
+                polls++;
             }
             cluster.clock.pass(1_000 + 700L * step);
         }
-        return asked;
+        return polls;
     }
 
     @Test
     void pollsRightAfterChangesReturnNoStaleState() {
         FailureScenario scenario = scenario(3);
         SimulatedCluster cluster = scenario.cluster;
-        int asked = 0;
+        int polls = 0;
         for (int i = 0; i < 8; i++) {
             String id = scenario.submit(3, "beads", 1);
-            asked += pollAllWithinMilliseconds(cluster, id);
+            polls += pollAllNodesRepeatedly(cluster, id);
             assertEquals(
                     200,
                     cluster.submit(scenario.aliveNode(i), scenario.bodies.get(id))
@@ -161,13 +168,13 @@
             } else {
                 assertTrue(cluster.reaches(scenario.aliveNode(i), id, "done", 60));
             }
-            asked += pollAllWithinMilliseconds(cluster, id);
+            polls += pollAllNodesRepeatedly(cluster, id);
             cluster.alive()
                     .forEach(node -> assertEquals(
                             200, cluster.submit(node, scenario.bodies.get(id)).status()));
         }
         cluster.clock.passSeconds(3);
-        assertEquals(asked, cluster.pollResponses());
+        assertEquals(polls, cluster.pollResponses());
         scenario.assertAllJobsEnd(30);
     }
 
@@ -175,9 +182,9 @@
     void storeRequestsPerShortJobAreBounded() {
         FailureScenario scenario = scenario(3);
         SimulatedCluster cluster = scenario.cluster;
-        int before = cluster.store.writes();
-        int requests = cluster.store.requests();
-        String refused = null;
+        int writesBefore = cluster.store.writes();
+        int requestsBefore = cluster.store.requests();
+        String refusedNode = null;
         for (int i = 0; i < 240; i++) {
             String id = scenario.submit(3, "beads", 1, "cpus", 1.0);
             if (i % 4 == 0) {
@@ -185,26 +192,27 @@
             }
             cluster.clock.pass(250_000);
             if (i % 60 == 28) {
-                refused = cluster.leader();
-                cluster.refuseStore(refused, true);
+                refusedNode = cluster.leader();
+                cluster.refuseStore(refusedNode, true);
             } else if (i % 60 == 34) {
-                // Meanwhile the changes that the state service keeps have gone by.
+                // The store has dropped the changes that this node missed; it must reload all records.
                 cluster.store.compactHistory();
-                cluster.refuseStore(refused, false);
+                cluster.refuseStore(refusedNode, false);
             }
         }
         cluster.clock.passSeconds(40);
-        // Accepted, admitted, two for the end, and its admission swept; a quarter were cancelled.
-        double changes = (cluster.store.writes() - before) / 240.0;
-        assertTrue(changes <= 5.25, "changes for each job: " + changes);
-        double reads = (cluster.store.requests() - requests) / 240.0;
-        assertTrue(reads <= 12, "requests for each job, the nodes' own among them: " + reads);
+        // Five writes for each job: submission, admission, two at its end, and the removal of its admission record.
+        // Every fourth job takes one more, for its cancellation.
+        double writes = (cluster.store.writes() - writesBefore) / 240.0;
+        assertTrue(writes <= 5.25, "writes per job: " + writes);
+        double requests = (cluster.store.requests() - requestsBefore) / 240.0;
+        assertTrue(requests <= 12, "requests per job, including the nodes' own: " + requests);
         assertEquals(List.of(), cluster.store.keys("open/"));
         assertEquals(List.of(), cluster.store.keys("slices/"));
-        before = cluster.store.writes();
+        writesBefore = cluster.store.writes();
         scenario.assertAllJobsEnd(10);
-        // The record of the machine types is renewed now and then.
-        assertTrue(cluster.store.writes() - before <= 2, "repeated submissions of what is known cost no changes");
+        // The record of the machine types is rewritten now and then.
+        assertTrue(cluster.store.writes() - writesBefore <= 2, "repeated submissions of known jobs write nothing");
     }
 
     @Test
@@ -217,11 +225,11 @@
             scenario.submit(8, "rank", "idle", "beads", 30, "cpus", 2.0);
         }
         cluster.clock.passSeconds(20);
-        int idle = cluster.runningTasks();
-        assertTrue(idle > 0);
+        int idleTasks = cluster.runningTasks();
+        assertTrue(idleTasks > 0);
         String urgent = scenario.submit(8, "rank", "urgent", "shape", "ensemble", "beads", 2, "cpus", 4.0);
         cluster.clock.passSeconds(25);
-        assertNotNull(cluster.starts.get(urgent + "/1"), "work of lower priority gave way");
+        assertNotNull(cluster.starts.get(urgent + "/1"), "the urgent gang preempts work of lower priority");
         scenario.killLeader();
         scenario.awaitLeader(12);
         cluster.slowStore(0);
--- a/src/test/java/org/weldcourse/app/LateWritesWithServicesTest.java
+++ b/src/test/java/org/weldcourse/app/LateWritesWithServicesTest.java
@@ -1,8 +1,8 @@
 package org.weldcourse.app;
 
 /**
- * The scripts of {@link LateWritesTest} with a service in place of each array. Scripts about jobs that end by themselves are overridden
- * without being tests here.
+ * The scenarios of {@link LateWritesTest} with a service in place of each array job. Scenarios that
+ * need jobs that end by themselves do not apply: their overrides lack {@code @Test} and do not run.
  */
 class LateWritesWithServicesTest extends LateWritesTest {
     @Override
--- a/src/test/java/org/weldcourse/app/LeaderFailoverTest.java
+++ b/src/test/java/org/weldcourse/app/LeaderFailoverTest.java
@@ -14,7 +14,10 @@
 import org.weldcourse.http.Json;
 import org.weldcourse.simulation.SimulatedCluster;
 
-/** Elections, failover and leaders that are cut off: running tasks outlive all of them. */
+/**
+ * Guards running tasks against changes of the leader: a failover, restarted controllers, a store outage or an isolated
+ * leader must neither stop them nor start them twice.
+ */
 class LeaderFailoverTest {
     @Test
     void failoverDoesNotRestartRunningTasks() {
@@ -24,12 +27,12 @@
         assertTrue(cluster.reaches("n0", "req-000014", "running", 60));
         cluster.clock.passSeconds(5);
         assertEquals(4, cluster.runningTasks());
-        String old = cluster.leader();
-        cluster.killNode(old);
+        String oldLeader = cluster.leader();
+        cluster.killNode(oldLeader);
         cluster.clock.passSeconds(10);
         assertNotNull(cluster.leader());
-        String other = cluster.leader();
-        assertTrue(cluster.reaches(other, "req-000014", "done", 90));
+        String newLeader = cluster.leader();
+        assertTrue(cluster.reaches(newLeader, "req-000014", "done", 90));
         assertTrue(cluster.starts.values().stream().allMatch(count -> count == 1), cluster.starts.toString());
     }
 
@@ -67,23 +70,24 @@
         cluster.submit("n0", jobBody("req-000016"));
         assertTrue(cluster.reaches("n0", "req-000016", "running", 60));
         cluster.clock.passSeconds(3);
-        String old = cluster.leader();
-        cluster.cutFromStore(old);
+        String oldLeader = cluster.leader();
+        cluster.cutFromStore(oldLeader);
         cluster.clock.passSeconds(8);
-        String successor = null;
+        String newLeader = null;
         for (String node : List.of("n0", "n1", "n2")) {
-            if (!node.equals(old) && cluster.controller(node).isLeader()) {
-                successor = node;
+            if (!node.equals(oldLeader) && cluster.controller(node).isLeader()) {
+                newLeader = node;
             }
         }
-        assertNotNull(successor);
-        // Told by the successor; the old leader can't know, and must have let go of its workers in time.
-        cluster.cancel(successor, "req-000016");
+        assertNotNull(newLeader);
+        // The new leader confirms the cancellation. The old leader does not know of it, and must have stopped renewing
+        // the leases of its workers in time.
+        cluster.cancel(newLeader, "req-000016");
         for (int i = 0; i < 45; i++) {
             cluster.clock.passSeconds(1);
             cluster.checkCancelled();
         }
-        cluster.healStoreLink(old);
+        cluster.healStoreLink(oldLeader);
         cluster.clock.passSeconds(10);
         assertEquals(0, cluster.runningTasks());
     }
@@ -110,10 +114,10 @@
         cluster.submit("n0", jobBody("req-000020"));
         assertTrue(cluster.reaches("n0", "req-000020", "running", 60));
         cluster.clock.passSeconds(3);
-        String old = cluster.leader();
+        String oldLeader = cluster.leader();
         int machines = cluster.cloud.machines().size();
-        cluster.cutFromStore(old);
-        cluster.cutFromWorkers(old);
+        cluster.cutFromStore(oldLeader);
+        cluster.cutFromWorkers(oldLeader);
         cluster.clock.passSeconds(40);
         assertEquals(machines, cluster.cloud.machines().size());
         assertEquals(4, cluster.runningTasks());
@@ -179,27 +183,27 @@
         cluster.submit("n0", jobBody("req-000042"));
         assertTrue(cluster.reaches("n0", "req-000042", "running", 60));
         cluster.clock.passSeconds(3);
-        String old = cluster.leader();
-        cluster.cutFromStore(old);
-        cluster.cutFromPeers(old);
+        String oldLeader = cluster.leader();
+        cluster.cutFromStore(oldLeader);
+        cluster.cutFromPeers(oldLeader);
         cluster.clock.passSeconds(14);
-        // Its workers followed the successor before their leases ran out: nothing was lost.
+        // The workers followed the new leader before their leases expired, so that no task was lost.
         assertEquals(4, cluster.runningTasks());
         cluster.workers.values().forEach(worker -> assertEquals(2, worker.fencingToken()));
         assertTrue(cluster.starts.values().stream().allMatch(count -> count == 1), cluster.starts.toString());
-        assertEquals(503, cluster.request(old, "GET", "/ready", new byte[0]).status());
+        assertEquals(503, cluster.request(oldLeader, "GET", "/ready", new byte[0]).status());
     }
 
     @ParameterizedTest
     @ValueSource(longs = {500, 1_500, 2_500, 3_500, 4_500, 5_500, 6_500, 7_500, 8_500, 9_500, 10_500, 11_500})
-    void controllerRestartedDuringElectionLeadsAndServes(long afterMicros) {
-        // What its earlier life had under way is still carried out after its new one began.
+    void controllerRestartedDuringElectionLeadsAndServes(long killAfterMicros) {
+        // Requests of the killed process still reach the store after the new process has started.
         SimulatedCluster cluster = new SimulatedCluster(1);
-        cluster.clock.pass(afterMicros);
+        cluster.clock.pass(killAfterMicros);
         cluster.killNode("n0");
         cluster.startNode("n0");
         cluster.clock.passSeconds(7);
-        assertEquals("n0", cluster.leader(), "killed after " + afterMicros);
+        assertEquals("n0", cluster.leader(), "killed after microseconds: " + killAfterMicros);
         assertEquals(201, cluster.submit("n0", jobBody("req-000049")).status());
         assertTrue(cluster.reaches("n0", "req-000049", "done", 60));
         assertTrue(cluster.starts.values().stream().allMatch(count -> count == 1), cluster.starts.toString());
@@ -207,32 +211,32 @@
 
     @ParameterizedTest
     @ValueSource(ints = {0, 125, 250, 375, 500, 625, 750, 875})
-    void resumedLeaderDoesNotActOnStaleState(int millis) {
+    void resumedLeaderDoesNotActOnStaleState(int pauseAfterMillis) {
         SimulatedCluster cluster = settled(3);
         cluster.runMicros.put("req-000054", 60_000_000L);
         cluster.submit("n0", jobBody("req-000054"));
         assertTrue(cluster.reaches("n0", "req-000054", "running", 60));
         cluster.clock.passSeconds(2);
-        String old = cluster.leader();
-        String other = old.equals("n0") ? "n1" : "n0";
-        // In the middle of an admission, its write, its first start.
+        String oldLeader = cluster.leader();
+        String other = oldLeader.equals("n0") ? "n1" : "n0";
+        // The pause falls into the admission, its commit, or the start of the first task.
         cluster.submit(other, jobBody("req-000055"));
-        cluster.clock.pass(millis * 1_000);
-        cluster.pauseNode(old);
+        cluster.clock.pass(pauseAfterMillis * 1_000);
+        cluster.pauseNode(oldLeader);
         cluster.clock.passSeconds(8);
         assertEquals("cancelled", cluster.cancel(other, "req-000054").state());
         cluster.clock.passSeconds(17);
         int machines = cluster.cloud.machines().size();
         int released = cluster.cloud.released.size();
-        cluster.resumeNode(old);
+        cluster.resumeNode(oldLeader);
         cluster.clock.pass(300_000);
-        assertFalse(cluster.controller(old).isLeader(), "after " + millis);
+        assertFalse(cluster.controller(oldLeader).isLeader(), "paused after milliseconds: " + pauseAfterMillis);
         assertEquals(machines, cluster.cloud.machines().size());
         assertEquals(released, cluster.cloud.released.size());
-        assertEquals("cancelled", cluster.poll(old, "req-000054").state());
+        assertEquals("cancelled", cluster.poll(oldLeader, "req-000054").state());
         cluster.clock.passSeconds(20);
         cluster.checkCancelled();
-        assertTrue(cluster.reaches(old, "req-000055", "done", 90));
+        assertTrue(cluster.reaches(oldLeader, "req-000055", "done", 90));
         assertTrue(cluster.starts.values().stream().allMatch(count -> count == 1), cluster.starts.toString());
     }
 }
--- a/src/test/java/org/weldcourse/app/LoweredStoreLimitsTest.java
+++ b/src/test/java/org/weldcourse/app/LoweredStoreLimitsTest.java
@@ -18,25 +18,28 @@
 import org.weldcourse.simulation.FakeNetwork;
 import org.weldcourse.simulation.SimulatedCluster;
 
-/** Records of larger limits, when the state service lowers its limits ahead of or during their use. */
+/**
+ * Guards against writes that the store rejects once it has lowered its limits on value sizes and transactions. Records
+ * written under the larger limits must be split before they are written again.
+ */
 class LoweredStoreLimitsTest {
-    /** Lowers the limits once so many commits were sent, and counts all that are. */
+    /** Lowers the store's limits before the commit with this index, and counts all commits. */
     private static int[] lowerLimitsBefore(SimulatedCluster cluster, int commit) {
-        int[] seen = new int[1];
+        int[] sentCommits = new int[1];
         cluster.network.injectFaults((from, call) -> {
-            if (call.path().equals("/commit") && seen[0]++ == commit) {
+            if (call.path().equals("/commit") && sentCommits[0]++ == commit) {
                 cluster.store.limit(4, 768);
             }
             return FakeNetwork.NORMAL;
         });
-        return seen;
+        return sentCommits;
     }
 
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2, 3, 5, 8, 10, 13})
     void jobsFinishWhenLimitsAreLoweredBetweenCommits(int commits) {
         SimulatedCluster cluster = upgradingCluster(1024, 8, new Settings.UpcomingStoreLimits(50, 768, 4));
-        int[] seen = lowerLimitsBefore(cluster, commits);
+        int[] sentCommits = lowerLimitsBefore(cluster, commits);
         cluster.clock.passSeconds(2);
         for (int i = 0; i < 3; i++) {
             cluster.cloud.addUnrequested("large", i % 2 == 0 ? "a" : "b", false);
@@ -56,7 +59,7 @@
         cluster.clock.passSeconds(20);
         cluster.killNode(cluster.leader());
         assertTrue(cluster.reaches(cluster.alive().get(0), "req-000001", "done", 200));
-        assertTrue(seen[0] > commits);
+        assertTrue(sentCommits[0] > commits);
         assertEquals(
                 "cancelled",
                 cluster.cancel(cluster.alive().get(0), "req-000002").state());
@@ -64,23 +67,24 @@
         assertEquals(0, cluster.runningTasks());
     }
 
-    /** The state service of the tests fails a test that sends it a value or transaction over its limits. */
+    /** The fake store fails a test that sends a value or a transaction beyond its limits. */
     @Test
-    void noWriteExceedsLimitsLoweredBeforeAnyCommit() {
+    void writesRespectLimitsLoweredBeforeEachCommit() {
         int commits = 0;
         while (runScenarioLoweringLimitsBefore(commits) > commits) {
             commits++;
         }
-        assertTrue(commits > 40, "commits of a day: " + commits);
+        assertTrue(commits > 40, "commits of the scenario: " + commits);
     }
 
     /**
-     * Arrays that end bit by bit, a cancellation, a machine with replicas lost, an election, the end of a service and the
-     * sweep of what is left.
+     * Runs array jobs whose tasks end at different times, a cancellation, the loss of a machine with replicas, a
+     * failover, the cancellation of a service and the removal of all records that are left. Returns the number of
+     * commits.
      */
     private static int runScenarioLoweringLimitsBefore(int commit) {
         SimulatedCluster cluster = upgradingCluster(1024, 8, new Settings.UpcomingStoreLimits(50, 768, 4));
-        int[] seen = lowerLimitsBefore(cluster, commit);
+        int[] sentCommits = lowerLimitsBefore(cluster, commit);
         cluster.clock.passSeconds(2);
         for (int i = 0; i < 4; i++) {
             cluster.cloud.addUnrequested("large", i % 2 == 0 ? "a" : "b", false);
@@ -107,7 +111,7 @@
         for (int job : new int[] {1, 4, 5, 6, 7, 8}) {
             assertTrue(
                     cluster.reaches(node, "req-00000" + job, "done", 120),
-                    "job " + job + " with limits from " + commit);
+                    "job " + job + " with limits lowered before commit " + commit);
         }
         for (int replica = 0; replica < 4; replica++) {
             assertTrue(cluster.workerOf("req-000002/" + replica) != null, "replica " + replica);
@@ -116,7 +120,7 @@
         cluster.clock.passSeconds(20);
         assertEquals(0, cluster.runningTasks());
         assertEquals(List.of(), cluster.store.keys("slices/"));
-        return seen[0];
+        return sentCommits[0];
     }
 
     private static void submit(SimulatedCluster cluster, String id, Object... changes) {
@@ -132,7 +136,7 @@
         for (int i = 0; i < 2; i++) {
             cluster.cloud.addUnrequested("large", "a", false);
         }
-        // Every other task, so that no two make a range: some 1,700 bytes for 400 tasks on two machines.
+        // Every other task, so that no two form a range: 400 tasks on two machines take some 1,700 bytes.
         StringBuilder even = new StringBuilder("1:0");
         StringBuilder odd = new StringBuilder("1:400");
         for (int task = 2; task < 400; task += 2) {
@@ -150,30 +154,33 @@
                         Map.of("m-000000", even.toString(), "m-000001", odd.toString()),
                         "bits",
                         ""));
-        int before = Json.bytes(cluster.store.value("slices/req-000001/0")).length;
-        assertTrue(before > 1024);
+        int storedBytes = Json.bytes(cluster.store.value("slices/req-000001/0")).length;
+        assertTrue(storedBytes > 1024);
         cluster.store.limit(4, 1024);
         for (int task = 0; task < 800; task++) {
             cluster.runMicros.put("req-000001/" + task, task % 10 == 0 ? 2_000_000L : 40_000_000L);
         }
         cluster.clock.passSeconds(25);
-        BitSet read = finishedTasksAsReadByProduction(cluster, "req-000001", 800, 4096);
-        assertTrue(read.cardinality() >= 40, "what is finished is on record: " + read.cardinality());
+        BitSet finished = finishedTasksAsReadByProduction(cluster, "req-000001", 800, 4096);
+        assertTrue(finished.cardinality() >= 40, "finished tasks on record: " + finished.cardinality());
         cluster.killNode(cluster.leader());
         assertTrue(cluster.reaches(cluster.alive().get(0), "req-000001", "done", 300));
-        assertTrue(cluster.starts.values().stream().allMatch(count -> count == 1), "none ran again");
+        assertTrue(cluster.starts.values().stream().allMatch(count -> count == 1), "no task ran again");
     }
 
     @Test
     void oversizedSubmissionIsRejectedUnlessJobIsKnown() {
         SimulatedCluster cluster = upgradingCluster(4096, 8, new Settings.UpcomingStoreLimits(50, 1024, 4));
         cluster.clock.passSeconds(2);
-        Map<String, Object> wide = jobBody("req-000001", "blank", "i".repeat(2_000));
-        assertEquals(422, cluster.submit("n0", wide).status());
-        storeOpenJob(cluster, wide);
+        Map<String, Object> oversized = jobBody("req-000001", "blank", "i".repeat(2_000));
+        assertEquals(422, cluster.submit("n0", oversized).status());
+        storeOpenJob(cluster, oversized);
         cluster.store.limit(4, 1024);
-        assertEquals(200, cluster.submit("n1", wide).status());
-        assertEquals("cancelled", cluster.cancel("n1", "req-000001").state(), "it can be cancelled all the same");
+        assertEquals(200, cluster.submit("n1", oversized).status());
+        assertEquals(
+                "cancelled",
+                cluster.cancel("n1", "req-000001").state(),
+                "a known job that exceeds the limit can be cancelled");
         cluster.clock.passSeconds(5);
         assertEquals("cancelled", cluster.poll("n0", "req-000001").state());
     }
--- a/src/test/java/org/weldcourse/app/MachineFailureTest.java
+++ b/src/test/java/org/weldcourse/app/MachineFailureTest.java
@@ -10,7 +10,10 @@
 import org.weldcourse.simulation.FakeWorker;
 import org.weldcourse.simulation.SimulatedCluster;
 
-/** Machines that hang, end, announce their end or are faulty, and a cloud that fails. */
+/**
+ * Guards against jobs that never finish, and tasks that run twice at once, when machines hang, restart, are reclaimed or
+ * fail their tasks, and when the cloud fails.
+ */
 class MachineFailureTest {
     @Test
     void unresponsiveMachineIsReleasedBeforeItsTasksRunElsewhere() {
@@ -59,9 +62,9 @@
     @Test
     void unrequestedMachineIsUsedOrReleased() {
         SimulatedCluster cluster = settled(1);
-        String found = cluster.cloud.addUnrequested("small", "a", false);
+        String unrequested = cluster.cloud.addUnrequested("small", "a", false);
         cluster.clock.passSeconds(90);
-        assertTrue(cluster.cloud.released.contains(found));
+        assertTrue(cluster.cloud.released.contains(unrequested));
     }
 
     @Test
@@ -112,7 +115,7 @@
     @Test
     void machineOnWhichTasksFailIsReleasedAndJobsFinish() {
         SimulatedCluster cluster = settled(1);
-        String bad = cluster.cloud.addUnrequested("large", "a", false);
+        String faulty = cluster.cloud.addUnrequested("large", "a", false);
         cluster.clock.passSeconds(6);
         cluster.runMicros.put("req-000029/0", -1L);
         cluster.runMicros.put("req-000030/0", -1L);
@@ -123,7 +126,7 @@
         cluster.runMicros.remove("req-000030/0");
         assertTrue(cluster.reaches("n0", "req-000029", "done", 120));
         assertTrue(cluster.reaches("n0", "req-000030", "done", 120));
-        assertTrue(cluster.cloud.released.contains(bad));
+        assertTrue(cluster.cloud.released.contains(faulty));
     }
 
     @Test
@@ -141,14 +144,14 @@
     @Test
     void machineThatReceivesNoCommandsDoesNotBlockTasks() {
         SimulatedCluster cluster = settled(1);
-        String deaf = cluster.cloud.addUnrequested("large", "a", true);
+        String unreachable = cluster.cloud.addUnrequested("large", "a", true);
         cluster.clock.passSeconds(7);
-        cluster.cutResponsesAndCommands(deaf);
+        cluster.cutResponsesAndCommands(unreachable);
         cluster.submit("n0", jobBody("req-000041", "beads", 6));
         assertTrue(cluster.reaches("n0", "req-000041", "done", 60));
         assertTrue(cluster.starts.values().stream().allMatch(count -> count == 1), cluster.starts.toString());
         cluster.clock.passSeconds(20);
-        assertTrue(cluster.cloud.released.contains(deaf));
+        assertTrue(cluster.cloud.released.contains(unreachable));
     }
 
     @Test
--- a/src/test/java/org/weldcourse/app/MainTest.java
+++ b/src/test/java/org/weldcourse/app/MainTest.java
@@ -9,21 +9,24 @@
 import org.junit.jupiter.api.Test;
 import picocli.CommandLine.ParseResult;
 
-/** The platform's own call leaves picocli out; it has to mean what picocli would make of it, and nothing else may. */
+/**
+ * Main handles the platform's invocation, {@code --config FILE}, without picocli. Picocli must parse it to the same
+ * result, and every other command line must go through picocli.
+ */
 class MainTest {
     @Test
     void platformInvocationIsParsedTheSameByPicocli() {
-        String[] call = {"--config", "/etc/settings.toml"};
-        assertTrue(Main.isPlatformInvocation(call));
-        ParseResult parsed = CommandLineModel.commandLine().parseArgs(call);
-        assertEquals(Path.of(call[1]), parsed.matchedOptionValue("--config", null));
+        String[] args = {"--config", "/etc/settings.toml"};
+        assertTrue(Main.isPlatformInvocation(args));
+        ParseResult parsed = CommandLineModel.commandLine().parseArgs(args);
+        assertEquals(Path.of(args[1]), parsed.matchedOptionValue("--config", null));
         assertFalse(parsed.hasSubcommand());
         assertFalse(parsed.isUsageHelpRequested());
     }
 
     @Test
     void otherInvocationsAreParsedByPicocli() {
-        for (String[] call : new String[][] {
+        for (String[] args : new String[][] {
             {},
             {"--config"},
             {"--config", "--help"},
@@ -32,13 +35,13 @@
             {"--config", "a", "--operators", "b"},
             {"--help", "a"}
         }) {
-            assertFalse(Main.isPlatformInvocation(call));
+            assertFalse(Main.isPlatformInvocation(args));
         }
     }
 
     @Test
     void invalidCommandLineAndInvalidSettingsExitWithUsageError() {
-        for (String[] call : new String[][] {
+        for (String[] args : new String[][] {
             {"--what"},
             {},
             {"check"},
@@ -47,18 +50,19 @@
             {"--config", "no such file"},
             {"check", "--config", "no such file"}
         }) {
-            assertEquals(Main.EXIT_USAGE_ERROR, Main.run(call), String.join(" ", call));
+            assertEquals(Main.EXIT_USAGE_ERROR, Main.run(args), String.join(" ", args));
         }
     }
 
     @Test
     void invalidCommandLineIsNamedInTheError() {
-        for (String[] call : new String[][] {
+        for (String[] argumentAndMessage : new String[][] {
             {"--what", "Unknown option: '--what' (see --help)"},
             {"check", "--config FILE is needed (see --help)"},
         }) {
-            UsageException wrong = assertThrows(UsageException.class, () -> Commands.run(new String[] {call[0]}));
-            assertEquals(call[1], wrong.getMessage());
+            UsageException error =
+                    assertThrows(UsageException.class, () -> Commands.run(new String[] {argumentAndMessage[0]}));
+            assertEquals(argumentAndMessage[1], error.getMessage());
         }
     }
 
