--- a/src/test/java/org/weldcourse/app/FailureScenario.java
+++ b/src/test/java/org/weldcourse/app/FailureScenario.java
@@ -16,13 +16,15 @@
 
 /** Submits and cancels jobs while a test injects failures, and checks at the end that every job has ended correctly. */
 final class FailureScenario {
-    /** The run time of tasks that run until their job is cancelled. */
+    /** The run time to submit for tasks that run until their job is cancelled. */
     static final double FOREVER = -2;
 
     private final boolean arraysAreServices;
     private final Set<String> services = new HashSet<>();
     final SimulatedCluster cluster;
+    /** The submitted request bodies by job id. */
     final Map<String, Map<String, Object>> bodies = new LinkedHashMap<>();
+    /** The ids of the jobs whose cancellation was confirmed. */
     final Set<String> cancelled = new HashSet<>();
 
     /** With {@code arraysAreServices}, jobs without a shape are submitted as services instead of arrays. */
@@ -66,7 +68,7 @@
         for (int i = 0; i < 600 && presentTasks(id).size() < taskCount(id); i++) {
             cluster.clock.pass(100_000);
         }
-        assertEquals(taskCount(id), presentTasks(id).size(), "running tasks of " + id);
+        assertEquals(taskCount(id), presentTasks(id).size(), id + ": running tasks");
         return id;
     }
 
@@ -188,7 +190,7 @@
         }
     }
 
-    /** Submits jobs beyond a team's limit, gangs, jobs in one zone or spread out, and one with tasks of unequal length. */
+    /** Submits jobs beyond a team's limit, gangs, jobs in one zone or apart, and one with tasks of unequal length. */
     void submitMixedWork() {
         // A service is rejected unless all its replicas fit the team's limit of 8 CPUs.
         submit(30, "crew", "capped", "beads", arraysAreServices ? 4 : 10);
--- a/src/test/java/org/weldcourse/app/IsolatedLeaderTest.java
+++ b/src/test/java/org/weldcourse/app/IsolatedLeaderTest.java
@@ -17,6 +17,10 @@
  * another node has confirmed to the user, while its heartbeat answers would keep the leases of its workers alive.
  */
 class IsolatedLeaderTest extends FailureCombinations {
+    /**
+     * The leader misses a cancellation, and the store outage that follows prevents a failover to a node that knows of
+     * it. The workers must not keep the cancelled tasks beyond the time allowed.
+     */
     @ParameterizedTest
     @CsvSource({"0.1, 2, false", "1, 2, false", "1.9, 2, false", "0.9, 1, true", "3, 3.5, false", "0.01, 0.5, true"})
     void cancelledTasksStopWhenStoreRefusesLeaderThenAllNodes(
@@ -52,6 +56,7 @@
         scenario.assertAllJobsEnd(60);
     }
 
+    /** The leader keeps its leadership, as its lease renewals succeed, but its reads of the jobs get no response. */
     @Test
     void cancelledTasksStopWhenLeaderReadsHangWhileLeaseIsRenewed() {
         FailureScenario scenario = scenario(3);
@@ -75,6 +80,7 @@
         scenario.assertAllJobsEnd(60);
     }
 
+    /** The new leader cannot load the jobs, so it must not renew the leases of workers whose tasks may be cancelled. */
     @Test
     void cancelledTasksStopWhenNewLeaderCannotReadStore() {
         FailureScenario scenario = scenario(3);
@@ -84,8 +90,9 @@
         cluster.refuseStore(oldLeader, true);
         cluster.clock.pass(500_000);
         scenario.cancelThrough(scenario.peerOf(oldLeader), id);
-        // The old leader's workers kept their tasks through the outage of 19 s. The new leader holds the
-        // lease but cannot read any record.
+        // The old leader's workers keep their tasks through the outage of 19 s. The new leader holds the leader lease,
+        // but
+        // cannot read the jobs.
         cluster.store.down(true);
         cluster.clock.passSeconds(19);
         cluster.store.down(false);
@@ -104,6 +111,10 @@
         scenario.assertAllJobsEnd(60);
     }
 
+    /**
+     * The new leader has loaded the jobs, but its reads of the admissions hang. It knows which tasks are cancelled,
+     * but not which others belong to which machine.
+     */
     @Test
     void newLeaderStopsCancelledTasksBeforeAllRecordsAreLoaded() {
         FailureScenario scenario = scenario(2);
@@ -126,6 +137,7 @@
         scenario.assertEachTaskStartedOnce();
     }
 
+    /** Workers and users still reach the old leader, which would answer polls and heartbeats from stale state. */
     @Test
     void leaderIsolatedFromStoreAndPeersNeitherServesPollsNorLosesTasks() {
         FailureScenario scenario = scenario(3);
@@ -152,6 +164,7 @@
         scenario.assertAllJobsEnd(90);
     }
 
+    /** The job is cancelled while its tasks wait for a hanging machine, and the leader does not learn of it. */
     @ParameterizedTest
     @ValueSource(doubles = {1.6, 2.5, 6})
     void leaderRefusedByStoreStartsNoCancelledTasks(double reachableAfterSeconds) {
--- a/src/test/java/org/weldcourse/app/JobLifecycleTest.java
+++ b/src/test/java/org/weldcourse/app/JobLifecycleTest.java
@@ -59,15 +59,15 @@
     void submissionFailsFastDuringStoreOutage() {
         SimulatedCluster cluster = settled(1);
         cluster.store.down(true);
-        long beforeMicros = cluster.clock.nowMicros();
+        long submittedMicros = cluster.clock.nowMicros();
         SimulatedCluster.ApiResponse answer = cluster.submit("n0", jobBody("req-000010"));
         assertEquals(503, answer.status());
         assertTrue(answer.retryAfterSeconds() > 0);
-        assertTrue(cluster.clock.nowMicros() - beforeMicros < 100_000);
+        assertTrue(cluster.clock.nowMicros() - submittedMicros < 100_000);
     }
 
     @Test
-    void jobWithLostCommitResponseIsNotSubmittedTwice() {
+    void jobWithLostCommitResponseIsAcceptedOnce() {
         SimulatedCluster cluster = settled(1);
         cluster.loseResponses("n0", true);
         Map<String, Object> job = jobBody("req-000011");
@@ -154,7 +154,7 @@
         }
         cluster.clock.passSeconds(1);
         assertEquals(40, answered[0]);
-        // The other requests are the nodes' own, such as lease renewals and peer status.
+        // The other requests are the nodes' own, such as lease renewals and watches.
         assertTrue(
                 cluster.store.requests() - requestsBefore < 16,
                 "requests: " + (cluster.store.requests() - requestsBefore));
--- a/src/test/java/org/weldcourse/app/LateWritesTest.java
+++ b/src/test/java/org/weldcourse/app/LateWritesTest.java
@@ -19,6 +19,9 @@
  * leader must be fenced, and one that was overtaken must not overwrite newer records.
  */
 class LateWritesTest extends FailureCombinations {
+    /**
+     * Four of ten commits get no response, and take effect at once or 2 to 12 s later. The writer cannot tell when.
+     */
     @ParameterizedTest
     @CsvSource({"false, 1", "false, 2", "false, 3", "true, 1", "true, 2", "true, 3"})
     void jobsSurviveCommitsWithoutResponse(boolean appliedAtOnce, int seed) {
@@ -56,6 +59,10 @@
         scenario.assertAllJobsEnd(240);
     }
 
+    /**
+     * The admission reaches the store after the failover. Its tasks would hold free capacity that the new leader
+     * assigns.
+     */
     @Test
     void delayedAdmissionOfDeadLeaderIsFenced() {
         FailureScenario scenario = scenario(2);
@@ -76,6 +83,10 @@
         scenario.assertAllJobsEnd(120);
     }
 
+    /**
+     * The leader repeats an admission without a response. The first commit arrives after later ones to the same
+     * record.
+     */
     @Test
     void delayedCommitDoesNotOverwriteNewerOne() {
         FailureScenario scenario = scenario(2);
@@ -102,6 +113,7 @@
         scenario.assertEachTaskStartedOnce();
     }
 
+    /** The job may end as done or as cancelled, but all answers must agree on which. */
     @Test
     void cancellationPollAndResubmissionRaceWithEndOfLastTask() {
         long[] endCommittedMicros = new long[1];
@@ -151,6 +163,10 @@
         return polls;
     }
 
+    /**
+     * Concurrent polls share a read of the store. A poll that joined a read begun before a confirmed change would return
+     * stale state.
+     */
     @Test
     void pollsRightAfterChangesReturnNoStaleState() {
         FailureScenario scenario = scenario(3);
@@ -178,6 +194,10 @@
         scenario.assertAllJobsEnd(30);
     }
 
+    /**
+     * Four short jobs a second, a quarter of them cancelled, while the leader loses the store for a time: their
+     * records must not cost more writes than needed, nor stay in the store.
+     */
     @Test
     void storeRequestsPerShortJobAreBounded() {
         FailureScenario scenario = scenario(3);
@@ -215,6 +235,7 @@
         assertTrue(cluster.store.writes() - writesBefore <= 2, "repeated submissions of known jobs write nothing");
     }
 
+    /** Each store request takes 350 ms more, so that a preemption and the admission after it are far apart. */
     @Test
     void urgentGangPreemptsUnderOverloadWithSlowStore() {
         FailureScenario scenario = scenario(3);
--- a/src/test/java/org/weldcourse/app/LeaderFailoverTest.java
+++ b/src/test/java/org/weldcourse/app/LeaderFailoverTest.java
@@ -63,6 +63,7 @@
         assertEquals("n0", cluster.leader());
     }
 
+    /** The old leader still reaches its workers, and would keep the tasks of a job that the new leader cancels. */
     @Test
     void leaderCutFromStoreStepsDownAndWorkersFollowNewLeader() {
         SimulatedCluster cluster = settled(3);
@@ -107,6 +108,7 @@
         assertTrue(cluster.starts.values().stream().allMatch(count -> count == 1), cluster.starts.toString());
     }
 
+    /** The old leader hears no heartbeats, and would release its machines as lost while the new leader uses them. */
     @Test
     void isolatedFormerLeaderReleasesNoMachines() {
         SimulatedCluster cluster = settled(3);
@@ -209,6 +211,10 @@
         assertTrue(cluster.starts.values().stream().allMatch(count -> count == 1), cluster.starts.toString());
     }
 
+    /**
+     * The leader process is paused beyond its lease. When it resumes, it must neither release machines nor answer
+     * from the state that it held before.
+     */
     @ParameterizedTest
     @ValueSource(ints = {0, 125, 250, 375, 500, 625, 750, 875})
     void resumedLeaderDoesNotActOnStaleState(int pauseAfterMillis) {
--- a/src/test/java/org/weldcourse/app/MachineFailureTest.java
+++ b/src/test/java/org/weldcourse/app/MachineFailureTest.java
@@ -11,8 +11,8 @@
 import org.weldcourse.simulation.SimulatedCluster;
 
 /**
- * Guards against jobs that never finish, and tasks that run twice at once, when machines hang, restart, are reclaimed or
- * fail their tasks, and when the cloud fails.
+ * Guards against jobs that never finish, and tasks that run twice at once, when machines hang, restart, are reclaimed
+ * or fail their tasks, and when the cloud fails.
  */
 class MachineFailureTest {
     @Test
@@ -44,6 +44,7 @@
         assertTrue(cluster.reaches("n0", "req-000019", "done", 120));
     }
 
+    /** The worker's lease expires while it is cut off. It stops its tasks and reports with a new incarnation. */
     @Test
     void tasksLostWithWorkerIncarnationRunAgain() {
         SimulatedCluster cluster = settled(1);
@@ -96,6 +97,7 @@
         assertTrue(cluster.reaches("n0", "req-000023", "done", 120));
     }
 
+    /** A machine that falls silent at its announced end needs no wait for its lease to expire. */
     @Test
     void tasksOfReclaimedSpotMachineRestartAtOnce() {
         SimulatedCluster cluster = settled(1);
@@ -141,6 +143,10 @@
                 422, cluster.submit("n1", jobBody("req-000036", "cpus", 99.0)).status());
     }
 
+    /**
+     * The machine's heartbeats arrive, but no answer or command reaches it, so that tasks assigned to it would never
+     * start.
+     */
     @Test
     void machineThatReceivesNoCommandsDoesNotBlockTasks() {
         SimulatedCluster cluster = settled(1);
@@ -164,6 +170,7 @@
         assertTrue(cluster.reaches("n0", "req-000052", "done", 90));
     }
 
+    /** The machine is back under the same name, without its tasks, before its heartbeats are missed. */
     @Test
     void jobSurvivesImmediateMachineRestart() {
         SimulatedCluster cluster = settled(1);
