--- a/src/test/java/org/weldcourse/app/LateWritesTest.java
+++ b/src/test/java/org/weldcourse/app/LateWritesTest.java
@@ -164,8 +164,8 @@
     }
 
     /**
-     * Concurrent polls share a read of the store. A poll that joined a read begun before a confirmed change would return
-     * stale state.
+     * Concurrent polls share a read of the store. A poll that joined a read begun before a confirmed change would
+     * return stale state.
      */
     @Test
     void pollsRightAfterChangesReturnNoStaleState() {
--- a/src/test/java/org/weldcourse/app/LeaderFailoverTest.java
+++ b/src/test/java/org/weldcourse/app/LeaderFailoverTest.java
@@ -196,10 +196,10 @@
         assertEquals(503, cluster.request(oldLeader, "GET", "/ready", new byte[0]).status());
     }
 
+    /** Requests of the killed process still reach the store after the new process has started. */
     @ParameterizedTest
     @ValueSource(longs = {500, 1_500, 2_500, 3_500, 4_500, 5_500, 6_500, 7_500, 8_500, 9_500, 10_500, 11_500})
     void controllerRestartedDuringElectionLeadsAndServes(long killAfterMicros) {
-        // Requests of the killed process still reach the store after the new process has started.
         SimulatedCluster cluster = new SimulatedCluster(1);
         cluster.clock.pass(killAfterMicros);
         cluster.killNode("n0");
--- a/src/test/java/org/weldcourse/app/LoweredStoreLimitsTest.java
+++ b/src/test/java/org/weldcourse/app/LoweredStoreLimitsTest.java
@@ -24,10 +24,10 @@
  */
 class LoweredStoreLimitsTest {
     /** Lowers the store's limits before the commit with this index, and counts all commits. */
-    private static int[] lowerLimitsBefore(SimulatedCluster cluster, int commit) {
+    private static int[] lowerLimitsBefore(SimulatedCluster cluster, int commitIndex) {
         int[] sentCommits = new int[1];
         cluster.network.injectFaults((from, call) -> {
-            if (call.path().equals("/commit") && sentCommits[0]++ == commit) {
+            if (call.path().equals("/commit") && sentCommits[0]++ == commitIndex) {
                 cluster.store.limit(4, 768);
             }
             return FakeNetwork.NORMAL;
@@ -37,9 +37,9 @@
 
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2, 3, 5, 8, 10, 13})
-    void jobsFinishWhenLimitsAreLoweredBetweenCommits(int commits) {
+    void jobsFinishWhenLimitsAreLoweredBetweenCommits(int commitIndex) {
         SimulatedCluster cluster = upgradingCluster(1024, 8, new Settings.UpcomingStoreLimits(50, 768, 4));
-        int[] sentCommits = lowerLimitsBefore(cluster, commits);
+        int[] sentCommits = lowerLimitsBefore(cluster, commitIndex);
         cluster.clock.passSeconds(2);
         for (int i = 0; i < 3; i++) {
             cluster.cloud.addUnrequested("large", i % 2 == 0 ? "a" : "b", false);
@@ -59,7 +59,7 @@
         cluster.clock.passSeconds(20);
         cluster.killNode(cluster.leader());
         assertTrue(cluster.reaches(cluster.alive().get(0), "req-000001", "done", 200));
-        assertTrue(sentCommits[0] > commits);
+        assertTrue(sentCommits[0] > commitIndex);
         assertEquals(
                 "cancelled",
                 cluster.cancel(cluster.alive().get(0), "req-000002").state());
@@ -79,12 +79,12 @@
 
     /**
      * Runs array jobs whose tasks end at different times, a cancellation, the loss of a machine with replicas, a
-     * failover, the cancellation of a service and the removal of all records that are left. Returns the number of
+     * failover, the cancellation of a service and the removal of the remaining records. Returns the number of
      * commits.
      */
-    private static int runScenarioLoweringLimitsBefore(int commit) {
+    private static int runScenarioLoweringLimitsBefore(int commitIndex) {
         SimulatedCluster cluster = upgradingCluster(1024, 8, new Settings.UpcomingStoreLimits(50, 768, 4));
-        int[] sentCommits = lowerLimitsBefore(cluster, commit);
+        int[] sentCommits = lowerLimitsBefore(cluster, commitIndex);
         cluster.clock.passSeconds(2);
         for (int i = 0; i < 4; i++) {
             cluster.cloud.addUnrequested("large", i % 2 == 0 ? "a" : "b", false);
@@ -111,7 +111,7 @@
         for (int job : new int[] {1, 4, 5, 6, 7, 8}) {
             assertTrue(
                     cluster.reaches(node, "req-00000" + job, "done", 120),
-                    "job " + job + " with limits lowered before commit " + commit);
+                    "job " + job + " with limits lowered before commit " + commitIndex);
         }
         for (int replica = 0; replica < 4; replica++) {
             assertTrue(cluster.workerOf("req-000002/" + replica) != null, "replica " + replica);
@@ -127,6 +127,7 @@
         assertEquals(201, cluster.submit("n0", jobBody(id, changes)).status());
     }
 
+    /** The admission record of 400 running tasks exceeds the lowered limit when the first of them finish. */
     @Test
     void oversizedRecordsAreSplitOnNextWrite() {
         SimulatedCluster cluster = upgradingCluster(4096, 8, new Settings.UpcomingStoreLimits(50, 1024, 4));
@@ -137,11 +138,11 @@
             cluster.cloud.addUnrequested("large", "a", false);
         }
         // Every other task, so that no two form a range: 400 tasks on two machines take some 1,700 bytes.
-        StringBuilder even = new StringBuilder("1:0");
-        StringBuilder odd = new StringBuilder("1:400");
+        StringBuilder firstMachineTasks = new StringBuilder("1:0");
+        StringBuilder secondMachineTasks = new StringBuilder("1:400");
         for (int task = 2; task < 400; task += 2) {
-            even.append(',').append(task);
-            odd.append(',').append(400 + task);
+            firstMachineTasks.append(',').append(task);
+            secondMachineTasks.append(',').append(400 + task);
         }
         cluster.store.putRecord(
                 "slices/req-000001/0",
@@ -151,7 +152,7 @@
                         "n",
                         1,
                         "machines",
-                        Map.of("m-000000", even.toString(), "m-000001", odd.toString()),
+                        Map.of("m-000000", firstMachineTasks.toString(), "m-000001", secondMachineTasks.toString()),
                         "bits",
                         ""));
         int storedBytes = Json.bytes(cluster.store.value("slices/req-000001/0")).length;
@@ -168,6 +169,7 @@
         assertTrue(cluster.starts.values().stream().allMatch(count -> count == 1), "no task ran again");
     }
 
+    /** A job accepted under the larger limit keeps its answer, although its record exceeds the next limit. */
     @Test
     void oversizedSubmissionIsRejectedUnlessJobIsKnown() {
         SimulatedCluster cluster = upgradingCluster(4096, 8, new Settings.UpcomingStoreLimits(50, 1024, 4));
