--- a/src/test/java/org/weldcourse/app/StoreRequestCountTest.java
+++ b/src/test/java/org/weldcourse/app/StoreRequestCountTest.java
@@ -39,7 +39,8 @@
         assertEquals(1_000, many.knownMachines);
         assertEquals(0, few.writes);
         assertEquals(few, new StoreLoad(many.requests, many.writes, few.knownMachines));
-        // Each second: one lease renewal and one request of each standby; now and then a watch is reopened.
+        // The leader renews its lease and reopens its watch each second; each standby reads the epoch every two
+        // seconds.
         assertTrue(
                 few.requests >= MEASURED_SECONDS && few.requests <= 4 * MEASURED_SECONDS, few.requests + " requests");
     }
