--- a/src/test/java/org/weldcourse/soak/FaultSchedule.java
+++ b/src/test/java/org/weldcourse/soak/FaultSchedule.java
@@ -5,33 +5,42 @@
 import java.util.Random;
 import java.util.Set;
 
-/** Which faults come when, for how long and to whom: a function of the seed alone. */
+/** The faults of a run, generated from the seed and the settings, whatever the state of the cluster. */
 record FaultSchedule(List<Event> events) {
-    private static final long LEAST_GAP_MILLIS = 1_000;
-    private static final int MORE_GAP_MILLIS = 3_500;
-    private static final long LEAST_LENGTH_MILLIS = 500;
-    private static final int MORE_LENGTH_MILLIS = 13_000;
+    private static final long MIN_GAP_MILLIS = 1_000;
+    private static final int GAP_SPREAD_MILLIS = 3_500;
+    private static final long MIN_DURATION_MILLIS = 500;
+    private static final int DURATION_SPREAD_MILLIS = 13_000;
 
-    /** One fault. {@code choice} picks its targets among those that there are. */
-    record Event(SoakFault fault, long atMillis, long lengthMillis, int choice) {
+    /**
+     * One fault of the schedule.
+     *
+     * @param startMillis the start, counted from the start of the first fault
+     * @param selector a random number that selects the targets of the fault, and the delay of a slow store
+     */
+    record Event(SoakFault fault, long startMillis, long durationMillis, int selector) {
         @Override
         public String toString() {
-            return String.format("%.1f s: %s for %.1f s (%d)", atMillis / 1e3, fault, lengthMillis / 1e3, choice);
+            return String.format(
+                    "%.1f s: %s for %.1f s (%d)", startMillis / 1e3, fault, durationMillis / 1e3, selector);
         }
     }
 
-    /** Two or three faults overlap most of the time, since they last longer than the gaps between them. */
-    static FaultSchedule of(long seed, Set<SoakFault> among, long lengthMillis) {
+    /**
+     * Generates the schedule of a seed. Faults last longer than the gaps between them, so that two or three overlap
+     * most of the time.
+     */
+    static FaultSchedule generate(long seed, Set<SoakFault> enabledFaults, long totalMillis) {
         Random random = new Random(seed);
-        List<SoakFault> faults = new ArrayList<>(among);
+        List<SoakFault> faults = new ArrayList<>(enabledFaults);
         List<Event> events = new ArrayList<>();
-        for (long atMillis = 0; atMillis < lengthMillis; ) {
+        for (long startMillis = 0; startMillis < totalMillis; ) {
             events.add(new Event(
                     faults.get(random.nextInt(faults.size())),
-                    atMillis,
-                    LEAST_LENGTH_MILLIS + random.nextInt(MORE_LENGTH_MILLIS),
+                    startMillis,
+                    MIN_DURATION_MILLIS + random.nextInt(DURATION_SPREAD_MILLIS),
                     random.nextInt(1 << 20)));
-            atMillis += LEAST_GAP_MILLIS + random.nextInt(MORE_GAP_MILLIS);
+            startMillis += MIN_GAP_MILLIS + random.nextInt(GAP_SPREAD_MILLIS);
         }
         return new FaultSchedule(List.copyOf(events));
     }
--- a/src/test/java/org/weldcourse/soak/SoakCommand.java
+++ b/src/test/java/org/weldcourse/soak/SoakCommand.java
@@ -16,74 +16,78 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Plays soak runs from one seed to another, and ends with pass or fail and the seeds that failed. */
+/** Command that executes the soak runs of a range of seeds and reports the seeds that failed. */
 @Command(
         name = "soak",
-        description = "Plays seeded runs of real controllers under faults.",
+        description = "Runs real controllers under seeded random faults.",
         mixinStandardHelpOptions = true)
 public final class SoakCommand implements Callable<Integer> {
     static final int PASSED = 0;
     static final int FAILED = 1;
     static final int BAD_OPTIONS = 2;
 
-    private static final int MOST_SEEDS = 100_000;
-    private static final int MOST_CONTROLLERS = 9;
-    private static final int MOST_MACHINES = 400;
-    private static final int MOST_PARALLEL = 16;
-    private static final int MOST_SECONDS = 3_600;
-    /** What a controller takes at most, and what the stand-ins of one run do. */
+    private static final int MAX_SEEDS = 100_000;
+    private static final int MAX_CONTROLLERS = 9;
+    private static final int MAX_MACHINES = 400;
+    private static final int MAX_PARALLEL_RUNS = 16;
+    private static final int MAX_SECONDS = 3_600;
+    /** The memory that one controller process needs at most. */
     private static final long CONTROLLER_MB = 125;
+    /** The memory that the fakes of one run need. */
+    private static final long FAKES_MB = 200;
 
-    private static final long STAND_INS_MB = 200;
-    private static final long MEGABYTE = 1L << 20;
+    private static final long BYTES_PER_MB = 1L << 20;
 
-    @Option(names = "--seeds", required = true, description = "One seed, or the first and the last: 1-50.")
+    @Option(names = "--seeds", required = true, description = "One seed, or a range of seeds such as 1-50.")
     private String seeds;
 
-    @Option(names = "--controllers", defaultValue = "3", description = "Controllers of each run (default 3).")
+    @Option(names = "--controllers", defaultValue = "3", description = "Controllers per run (default 3).")
     private int controllers;
 
-    @Option(names = "--machines", defaultValue = "16", description = "Machines of each run (default 16).")
+    @Option(names = "--machines", defaultValue = "16", description = "Machines per run (default 16).")
     private int machines;
 
-    @Option(names = "--seconds", defaultValue = "45", description = "How long faults come (default 45).")
+    @Option(
+            names = "--seconds",
+            defaultValue = "45",
+            description = "Seconds during which faults are injected (default 45).")
     private int seconds;
 
-    @Option(names = "--parallel", defaultValue = "1", description = "Runs at once (default 1).")
+    @Option(names = "--parallel", defaultValue = "1", description = "Runs that are executed in parallel (default 1).")
     private int parallel;
 
-    @Option(names = "--faults", description = "Kinds of faults, by commas (default: all).")
+    @Option(names = "--faults", description = "Kinds of faults, separated by commas (default: all).")
     private String faults;
 
     @Option(names = "--operators", description = "Operators' settings file for the controllers.")
     private Path operators;
 
-    @Option(names = "--logs", defaultValue = "target/soak", description = "Where logs of failed runs stay.")
+    @Option(names = "--logs", defaultValue = "target/soak", description = "Directory for the logs of failed runs.")
     private Path logs;
 
     private long firstSeed;
     private long lastSeed;
 
-    /** A call that can't be carried out as it stands. */
-    private static final class BadOptions extends Exception {
-        BadOptions(String reason) {
+    /** Thrown for options that are invalid or that need more memory than the machine has. */
+    private static final class InvalidOptionsException extends Exception {
+        InvalidOptionsException(String reason) {
             super(reason);
         }
     }
 
-    /** Plays the runs that the words ask for; ends with 0, 1 when a run failed, 2 when the call is wrong. */
-    public static void main(String[] words) {
-        System.exit(run(words));
+    /** Executes the runs; exits with 0 if all of them passed, 1 if one failed, and 2 if an option is invalid. */
+    public static void main(String[] arguments) {
+        System.exit(run(arguments));
     }
 
-    static int run(String... words) {
+    static int run(String... arguments) {
         return new CommandLine(new SoakCommand())
-                .setParameterExceptionHandler((problem, unused) -> {
-                    System.err.println(
-                            "soak: " + problem.getMessage().lines().findFirst().orElse("bad options"));
+                .setParameterExceptionHandler((exception, ignored) -> {
+                    System.err.println("soak: "
+                            + exception.getMessage().lines().findFirst().orElse("invalid options"));
                     return BAD_OPTIONS;
                 })
-                .execute(words);
+                .execute(arguments);
     }
 
     @Override
@@ -91,8 +95,8 @@
         SoakSettings settings;
         try {
             settings = settings();
-        } catch (BadOptions bad) {
-            System.err.println("soak: " + bad.getMessage());
+        } catch (InvalidOptionsException invalid) {
+            System.err.println("soak: " + invalid.getMessage());
             return BAD_OPTIONS;
         }
         System.out.println("soak: seeds " + firstSeed + " to " + lastSeed + ", " + settings);
@@ -101,9 +105,9 @@
         CompletionService<SoakReport> runs = new ExecutorCompletionService<>(pool);
         for (long seed = firstSeed; seed <= lastSeed; seed++) {
             SoakRun run = new SoakRun(seed, settings);
-            runs.submit(run::play);
+            runs.submit(run::execute);
         }
-        for (long played = firstSeed; played <= lastSeed; played++) {
+        for (long seed = firstSeed; seed <= lastSeed; seed++) {
             SoakReport report = runs.take().get();
             System.out.println(report);
             if (!report.isPassed()) {
@@ -115,64 +119,65 @@
         return failed.isEmpty() ? PASSED : FAILED;
     }
 
-    private SoakSettings settings() throws BadOptions {
-        readSeeds();
-        within("--controllers", controllers, 1, MOST_CONTROLLERS);
-        within("--machines", machines, 1, MOST_MACHINES);
-        within("--seconds", seconds, 1, MOST_SECONDS);
-        within("--parallel", parallel, 1, MOST_PARALLEL);
-        Set<SoakFault> chosen = chosenFaults();
+    private SoakSettings settings() throws InvalidOptionsException {
+        parseSeeds();
+        requireInRange("--controllers", controllers, 1, MAX_CONTROLLERS);
+        requireInRange("--machines", machines, 1, MAX_MACHINES);
+        requireInRange("--seconds", seconds, 1, MAX_SECONDS);
+        requireInRange("--parallel", parallel, 1, MAX_PARALLEL_RUNS);
+        Set<SoakFault> enabledFaults = parseFaults();
         if (operators != null && !operators.toFile().canRead()) {
-            throw new BadOptions("--operators: can't read " + operators);
+            throw new InvalidOptionsException("--operators: can't read " + operators);
         }
-        long neededMb = parallel * (controllers * CONTROLLER_MB + STAND_INS_MB);
-        long mayUseMb = memoryMb() / 2;
-        if (neededMb > mayUseMb) {
-            throw new BadOptions("too little memory: " + neededMb + " MB are needed, " + mayUseMb + " may be used");
+        long neededMb = parallel * (controllers * CONTROLLER_MB + FAKES_MB);
+        long availableMb = physicalMemoryMb() / 2;
+        if (neededMb > availableMb) {
+            throw new InvalidOptionsException(
+                    "not enough memory: " + neededMb + " MB needed, " + availableMb + " MB available");
         }
-        String file = operators == null ? null : operators.toString();
-        return new SoakSettings(controllers, machines, chosen, seconds * 1_000L, file, logs);
+        String operatorsFile = operators == null ? null : operators.toString();
+        return new SoakSettings(controllers, machines, enabledFaults, seconds * 1_000L, operatorsFile, logs);
     }
 
-    private void readSeeds() throws BadOptions {
+    private void parseSeeds() throws InvalidOptionsException {
         String[] bounds = seeds.split("-", -1);
         try {
             firstSeed = Long.parseLong(bounds[0]);
             lastSeed = Long.parseLong(bounds[bounds.length - 1]);
-        } catch (NumberFormatException bad) {
-            throw new BadOptions("--seeds: neither a seed nor a first and a last: " + seeds);
+        } catch (NumberFormatException invalid) {
+            throw new InvalidOptionsException("--seeds: neither a seed nor a range of seeds: " + seeds);
         }
-        if (bounds.length > 2 || lastSeed < firstSeed || lastSeed - firstSeed >= MOST_SEEDS) {
-            throw new BadOptions("--seeds: no seeds in " + seeds);
+        if (bounds.length > 2 || lastSeed < firstSeed || lastSeed - firstSeed >= MAX_SEEDS) {
+            throw new InvalidOptionsException("--seeds: invalid or too large range: " + seeds);
         }
     }
 
-    private static void within(String option, int value, int least, int most) throws BadOptions {
-        if (value < least || value > most) {
-            throw new BadOptions(option + ": " + value + " is not from " + least + " to " + most);
+    private static void requireInRange(String option, int value, int min, int max) throws InvalidOptionsException {
+        if (value < min || value > max) {
+            throw new InvalidOptionsException(option + ": " + value + " is not between " + min + " and " + max);
         }
     }
 
-    private Set<SoakFault> chosenFaults() throws BadOptions {
+    private Set<SoakFault> parseFaults() throws InvalidOptionsException {
         if (faults == null) {
             return EnumSet.allOf(SoakFault.class);
         }
-        Set<SoakFault> chosen = EnumSet.noneOf(SoakFault.class);
+        Set<SoakFault> enabledFaults = EnumSet.noneOf(SoakFault.class);
         for (String name : faults.split(",")) {
             try {
-                chosen.add(
+                enabledFaults.add(
                         SoakFault.valueOf(name.strip().toUpperCase(Locale.ROOT).replace('-', '_')));
             } catch (IllegalArgumentException unknown) {
-                throw new BadOptions("--faults: unknown fault " + name);
+                throw new InvalidOptionsException("--faults: unknown fault " + name);
             }
         }
-        return chosen;
+        return enabledFaults;
     }
 
-    private static long memoryMb() {
+    private static long physicalMemoryMb() {
         var system = ManagementFactory.getOperatingSystemMXBean();
-        return system instanceof com.sun.management.OperatingSystemMXBean machine
-                ? machine.getTotalMemorySize() / MEGABYTE
-                : Runtime.getRuntime().maxMemory() / MEGABYTE;
+        return system instanceof com.sun.management.OperatingSystemMXBean platform
+                ? platform.getTotalMemorySize() / BYTES_PER_MB
+                : Runtime.getRuntime().maxMemory() / BYTES_PER_MB;
     }
 }
--- a/src/test/java/org/weldcourse/soak/SoakCommandTest.java
+++ b/src/test/java/org/weldcourse/soak/SoakCommandTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What the command refuses, and that a seed stands for one schedule. */
+/** Guards the validation of the command's options and the mapping from a seed to its schedule of faults. */
 class SoakCommandTest {
     @ParameterizedTest
     @ValueSource(
@@ -31,32 +31,34 @@
                 "--seeds=1 --operators=missing.xml",
                 "--seeds=1 --unknown"
             })
-    void badOptionsGetOneLineAndAnExitCode(String words) {
-        PrintStream before = System.err;
-        ByteArrayOutputStream said = new ByteArrayOutputStream();
-        System.setErr(new PrintStream(said, true, StandardCharsets.UTF_8));
+    void invalidOptionsPrintOneLineAndExitWithBadOptions(String arguments) {
+        PrintStream originalErr = System.err;
+        ByteArrayOutputStream captured = new ByteArrayOutputStream();
+        System.setErr(new PrintStream(captured, true, StandardCharsets.UTF_8));
         try {
-            assertEquals(SoakCommand.BAD_OPTIONS, SoakCommand.run(words.isEmpty() ? new String[0] : words.split(" ")));
+            assertEquals(
+                    SoakCommand.BAD_OPTIONS,
+                    SoakCommand.run(arguments.isEmpty() ? new String[0] : arguments.split(" ")));
         } finally {
-            System.setErr(before);
+            System.setErr(originalErr);
         }
-        String text = said.toString(StandardCharsets.UTF_8);
+        String text = captured.toString(StandardCharsets.UTF_8);
         assertTrue(text.startsWith("soak: "), text);
         assertEquals(1, text.lines().count(), text);
     }
 
     @Test
-    void aSeedStandsForOneSchedule() {
+    void equalSeedsGenerateEqualSchedules() {
         Set<SoakFault> all = EnumSet.allOf(SoakFault.class);
-        assertEquals(FaultSchedule.of(7, all, 60_000), FaultSchedule.of(7, all, 60_000));
-        assertNotEquals(FaultSchedule.of(7, all, 60_000), FaultSchedule.of(8, all, 60_000));
+        assertEquals(FaultSchedule.generate(7, all, 60_000), FaultSchedule.generate(7, all, 60_000));
+        assertNotEquals(FaultSchedule.generate(7, all, 60_000), FaultSchedule.generate(8, all, 60_000));
     }
 
     @Test
-    void moreThanOneFaultIsUnderWayMostOfTheTime() {
-        FaultSchedule schedule = FaultSchedule.of(1, EnumSet.allOf(SoakFault.class), 600_000);
+    void faultsOverlapMostOfTheTime() {
+        FaultSchedule schedule = FaultSchedule.generate(1, EnumSet.allOf(SoakFault.class), 600_000);
         long sumMillis = schedule.events().stream()
-                .mapToLong(FaultSchedule.Event::lengthMillis)
+                .mapToLong(FaultSchedule.Event::durationMillis)
                 .sum();
         assertTrue(sumMillis > 2 * 600_000, sumMillis + " ms");
     }
--- a/src/test/java/org/weldcourse/soak/SoakMetrics.java
+++ b/src/test/java/org/weldcourse/soak/SoakMetrics.java
@@ -8,18 +8,18 @@
 import java.time.Duration;
 import org.weldcourse.simulation.LoopbackCluster;
 
-/** Reads what controllers show to a scrape. */
+/** Reads metrics from the scrape endpoint of controllers. */
 final class SoakMetrics {
-    private static final String VIOLATIONS = "weldcourse_limit_violations_total ";
+    private static final String LIMIT_VIOLATIONS_METRIC = "weldcourse_limit_violations_total ";
     private static final Duration TIMEOUT = Duration.ofSeconds(5);
 
     private SoakMetrics() {}
 
-    /** How many violations the controllers that run now have counted since their starts. */
-    static int violations(LoopbackCluster cluster) throws IOException, InterruptedException {
+    /** Returns the limit violations that the running controllers have counted, each since its own start. */
+    static int limitViolations(LoopbackCluster cluster) throws IOException, InterruptedException {
         int violations = 0;
         for (String name : cluster.names()) {
-            violations += (int) value(scrape(cluster.api(name)), VIOLATIONS);
+            violations += (int) value(scrape(cluster.api(name)), LIMIT_VIOLATIONS_METRIC);
         }
         return violations;
     }
@@ -38,6 +38,6 @@
                 .filter(line -> line.startsWith(metric))
                 .mapToDouble(line -> Double.parseDouble(line.substring(line.lastIndexOf(' ') + 1)))
                 .findFirst()
-                .orElseThrow(() -> new AssertionError("no " + metric + "in " + scraped));
+                .orElseThrow(() -> new AssertionError("no metric " + metric + "in " + scraped));
     }
 }
--- a/src/test/java/org/weldcourse/soak/SoakReport.java
+++ b/src/test/java/org/weldcourse/soak/SoakReport.java
@@ -5,7 +5,7 @@
 import java.util.TreeMap;
 import org.weldcourse.simulation.NetworkFaults;
 
-/** What became of one run. */
+/** The result of one run; {@code failure} is null when the run passed. */
 record SoakReport(
         long seed,
         Throwable failure,
--- a/src/test/java/org/weldcourse/soak/SoakRun.java
+++ b/src/test/java/org/weldcourse/soak/SoakRun.java
@@ -12,18 +12,24 @@
 import org.weldcourse.settings.Settings;
 import org.weldcourse.simulation.LoopbackCluster;
 
-/** One seeded run: real controllers under a schedule of faults, then peace, in which everything has to come to its end. */
+/**
+ * One seeded run: real controllers under a schedule of faults, followed by a phase without faults in which every job
+ * has to end.
+ */
 final class SoakRun {
     private static final long WARM_UP_MILLIS = 8_000;
-    private static final long MOST_MILLIS_TO_LEAD = 30_000;
-    /** Troubles over, a question without an answer for so long counts as forgotten. */
-    private static final long FORGOTTEN_MICROS = 75_000_000;
-    /** Longer than any task runs and any evidence takes: without a start or an end, something waits for ever. */
-    private static final long MOST_IDLE_MILLIS = 90_000;
+    private static final long STARTUP_TIMEOUT_MILLIS = 30_000;
+    /** How long requests about a job may stay unanswered after the faults have ended, before the job counts as lost. */
+    private static final long ANSWER_TIMEOUT_MICROS = 75_000_000;
+    /**
+     * How long a run may go on without the start of a task or the end of a job. No task runs for longer, and no
+     * evidence that a task has ended takes longer, so a run that exceeds this time is stuck.
+     */
+    private static final long PROGRESS_TIMEOUT_MILLIS = 90_000;
 
-    private static final int MOST_EVENTS_KEPT = 400;
-    private static final int LARGE_FLEET = 50;
-    private static final int OPEN_JOBS = 18;
+    private static final int MAX_LOGGED_EVENTS = 400;
+    private static final int LARGE_FLEET_MACHINES = 50;
+    private static final int MAX_OPEN_JOBS = 18;
     private static final List<Settings.Team> TEAMS = List.of(
             new Settings.Team("core", 4, 16, 0, 0),
             new Settings.Team("edge", 0, 12, 0, 0),
@@ -33,26 +39,26 @@
     private final SoakSettings settings;
     private final Path directory;
     private final FaultSchedule schedule;
-    private final Map<SoakFault, Integer> happened = new EnumMap<>(SoakFault.class);
-    private final Deque<String> events = new ArrayDeque<>();
+    private final Map<SoakFault, Integer> injectedFaults = new EnumMap<>(SoakFault.class);
+    private final Deque<String> eventLog = new ArrayDeque<>();
     private LoopbackCluster cluster;
-    private SoakUsers users;
-    private long beganMillis;
+    private SimulatedUsers users;
+    private long faultsStartMillis;
 
     SoakRun(long seed, SoakSettings settings) {
         this.seed = seed;
         this.settings = settings;
         this.directory = settings.directory().resolve("seed-" + seed);
-        this.schedule = FaultSchedule.of(seed, settings.faults(), settings.faultMillis());
+        this.schedule = FaultSchedule.generate(seed, settings.faults(), settings.faultMillis());
     }
 
-    /** Plays the run; all of its processes have ended when this returns. */
-    SoakReport play() throws Exception {
+    /** Executes the run; all of its processes have ended when this method returns. */
+    SoakReport execute() throws Exception {
         Files.createDirectories(directory);
         SoakReport report;
         try {
             cluster = new LoopbackCluster(settings.controllers(), settings.machines(), TEAMS, directory, options());
-            report = report(failureOf());
+            report = report(runScenario());
         } finally {
             if (cluster != null) {
                 cluster.close();
@@ -61,7 +67,7 @@
         if (report.isPassed()) {
             deleteLogs();
         } else {
-            Files.write(directory.resolve("events.txt"), events);
+            Files.write(directory.resolve("events.txt"), eventLog);
             Files.writeString(directory.resolve("report.txt"), report.toString());
         }
         return report;
@@ -71,24 +77,24 @@
         return settings.operatorsFile() == null ? List.of() : List.of("--operators", settings.operatorsFile());
     }
 
-    /** What broke, or null. */
-    private Throwable failureOf() {
+    /** Runs the scenario and returns its failure, or null. */
+    private Throwable runScenario() {
         try {
-            playFaults();
-            comeToRest();
+            runFaults();
+            awaitCompletion();
             return null;
         } catch (Exception | AssertionError failure) {
             return failure;
         }
     }
 
-    private void playFaults() throws Exception {
+    private void runFaults() throws Exception {
         cluster.on(() -> {
             cluster.faults().seed(seed);
-            if (settings.machines() >= LARGE_FLEET) {
-                rentAll();
+            if (settings.machines() >= LARGE_FLEET_MACHINES) {
+                startLargeFleet();
             }
-            cluster.rules().alsoOnStart((task, attempt) -> note("start of " + task + " attempt " + attempt));
+            cluster.rules().alsoOnStart((task, attempt) -> logEvent("start of " + task + " attempt " + attempt));
             return null;
         });
         for (String name : cluster.names()) {
@@ -96,140 +102,144 @@
         }
         awaitControllers();
         users = cluster.on(() -> {
-            SoakUsers made = new SoakUsers(cluster, TEAMS, seed, OPEN_JOBS);
-            made.begin();
-            return made;
+            SimulatedUsers created = new SimulatedUsers(cluster, TEAMS, seed, MAX_OPEN_JOBS);
+            created.start();
+            return created;
         });
         Thread.sleep(WARM_UP_MILLIS);
-        beganMillis = System.currentTimeMillis();
-        SoakFaults faults = new SoakFaults(cluster, users, this::note);
+        faultsStartMillis = System.currentTimeMillis();
+        FaultInjector injector = new FaultInjector(cluster, users, this::logEvent);
         for (FaultSchedule.Event event : schedule.events()) {
-            faults.endThoseDueUntil(beganMillis + event.atMillis());
-            sleepUntil(beganMillis + event.atMillis());
+            injector.runRecoveriesUntil(faultsStartMillis + event.startMillis());
+            sleepUntil(faultsStartMillis + event.startMillis());
             cluster.throwFailure();
-            note(event.toString());
-            if (faults.begin(event, beganMillis + event.atMillis() + event.lengthMillis())) {
-                happened.merge(event.fault(), 1, Integer::sum);
+            logEvent(event.toString());
+            if (injector.inject(event, faultsStartMillis + event.startMillis() + event.durationMillis())) {
+                injectedFaults.merge(event.fault(), 1, Integer::sum);
             }
         }
-        faults.endThoseDueUntil(Long.MAX_VALUE);
+        injector.runRecoveriesUntil(Long.MAX_VALUE);
     }
 
-    /** A large fleet is up from the start; its spot machines are kept for as long as the faults come. */
-    private void rentAll() {
+    /**
+     * Starts all machines of a large fleet at once. They are spot machines, which scale-in keeps longer than on-demand
+     * ones, so that the fleet stays up while faults are injected.
+     */
+    private void startLargeFleet() {
         for (int i = 0; i < settings.machines(); i++) {
             cluster.cloud().addUnrequested("large", i % 2 == 0 ? "a" : "b", true);
         }
     }
 
     private void awaitControllers() throws Exception {
-        long untilMillis = System.currentTimeMillis() + MOST_MILLIS_TO_LEAD;
-        while (cluster.leader() == null || !cluster.names().stream().allMatch(this::answers)) {
-            if (System.currentTimeMillis() > untilMillis) {
-                throw new AssertionError("nobody leads, or not every controller answers");
+        long deadlineMillis = System.currentTimeMillis() + STARTUP_TIMEOUT_MILLIS;
+        while (cluster.leader() == null || !cluster.names().stream().allMatch(this::respondsToScrape)) {
+            if (System.currentTimeMillis() > deadlineMillis) {
+                throw new AssertionError("there is no leader, or a controller does not answer scrapes");
             }
             Thread.sleep(100);
         }
     }
 
-    private boolean answers(String node) {
+    private boolean respondsToScrape(String node) {
         try {
             return !SoakMetrics.scrape(cluster.api(node)).isEmpty();
-        } catch (IOException notYet) {
+        } catch (IOException unreachable) {
             return false;
-        } catch (InterruptedException stopped) {
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
             return false;
         }
     }
 
-    static void sleepUntil(long atMillis) throws InterruptedException {
-        long leftMillis = atMillis - System.currentTimeMillis();
-        if (leftMillis > 0) {
-            Thread.sleep(leftMillis);
+    static void sleepUntil(long wakeUpMillis) throws InterruptedException {
+        long remainingMillis = wakeUpMillis - System.currentTimeMillis();
+        if (remainingMillis > 0) {
+            Thread.sleep(remainingMillis);
         }
     }
 
-    /** Troubles are over: every accepted job ends, and every question is answered. */
-    private void comeToRest() throws Exception {
-        note("peace");
+    /** Ends all faults and waits for every accepted job to end, while requests about these jobs have to be answered. */
+    private void awaitCompletion() throws Exception {
+        logEvent("all faults are ended");
         cluster.on(() -> {
             cluster.faults().healAll();
             return null;
         });
-        // Users go on for a while, so that a service that has stopped serving shows.
+        // Users keep submitting for a while, so that a controller which no longer serves requests is detected.
         Thread.sleep(WARM_UP_MILLIS);
-        long quietMicros = cluster.on(() -> {
+        long submissionsEndMicros = cluster.on(() -> {
             users.stopSubmitting();
             return cluster.time().nowMicros();
         });
-        long movedMillis = System.currentTimeMillis();
-        int before = -1;
+        long lastProgressMillis = System.currentTimeMillis();
+        int previousProgress = -1;
         while (true) {
             cluster.throwFailure();
-            List<String> left = cluster.on(users::unfinished);
-            if (left.isEmpty()) {
+            List<String> unfinished = cluster.on(users::unfinished);
+            if (unfinished.isEmpty()) {
                 break;
             }
             cluster.on(() -> {
-                checkAnswered(left, quietMicros);
+                checkJobsAreAnswered(unfinished, submissionsEndMicros);
                 return null;
             });
-            int now = cluster.on(() -> cluster.rules().starts.size() * 1_000 - left.size());
-            if (now != before) {
-                before = now;
-                movedMillis = System.currentTimeMillis();
-            } else if (System.currentTimeMillis() - movedMillis > MOST_IDLE_MILLIS) {
-                throw new AssertionError("neither run nor end: " + left + " records "
+            int progress = cluster.on(() -> cluster.rules().starts.size() * 1_000 - unfinished.size());
+            if (progress != previousProgress) {
+                previousProgress = progress;
+                lastProgressMillis = System.currentTimeMillis();
+            } else if (System.currentTimeMillis() - lastProgressMillis > PROGRESS_TIMEOUT_MILLIS) {
+                throw new AssertionError("no task starts or ends; unfinished jobs: " + unfinished + "; records: "
                         + cluster.on(() -> cluster.state().keys("")));
             }
             Thread.sleep(300);
         }
-        awaitCleanRecords();
+        awaitOutstandingRecordsDeleted();
         cluster.throwFailure();
-        checkThatNothingWasRefusedWrongly();
-        checkThatSomethingHappened();
+        checkNoLimitViolations();
+        checkFaultsAndStartsOccurred();
     }
 
-    private void checkThatNothingWasRefusedWrongly() throws Exception {
-        int violations = SoakMetrics.violations(cluster);
+    private void checkNoLimitViolations() throws Exception {
+        int violations = SoakMetrics.limitViolations(cluster);
         if (violations > 0) {
-            throw new AssertionError(violations + " starts were refused that should never have been asked for");
+            throw new AssertionError(
+                    violations + " starts were refused because the bookings of a team exceeded its limit");
         }
         checkLogs();
     }
 
-    private void checkThatSomethingHappened() throws Exception {
-        if (happened.isEmpty()) {
+    private void checkFaultsAndStartsOccurred() throws Exception {
+        if (injectedFaults.isEmpty()) {
             throw new AssertionError("no fault took effect");
         }
         if (cluster.on(() -> cluster.rules().starts.isEmpty())) {
-            throw new AssertionError("nothing_ran");
+            throw new AssertionError("no task started");
         }
     }
 
-    private void checkAnswered(List<String> ids, long quietMicros) {
+    private void checkJobsAreAnswered(List<String> ids, long submissionsEndMicros) {
         long nowMicros = cluster.time().nowMicros();
         for (String id : ids) {
-            if (nowMicros - Math.max(quietMicros, users.answeredMicros(id)) > FORGOTTEN_MICROS) {
-                throw new AssertionError("forgotten: no question about " + id + " is answered");
+            if (nowMicros - Math.max(submissionsEndMicros, users.lastAnswerMicros(id)) > ANSWER_TIMEOUT_MICROS) {
+                throw new AssertionError("no request about job " + id + " is answered");
             }
         }
     }
 
-    /** Nothing stays on record that no leader would ever take away. */
-    private void awaitCleanRecords() throws Exception {
-        long untilMillis = System.currentTimeMillis() + MOST_IDLE_MILLIS;
+    /** Waits until the store holds no records of outstanding jobs: one that no leader deletes would stay forever. */
+    private void awaitOutstandingRecordsDeleted() throws Exception {
+        long deadlineMillis = System.currentTimeMillis() + PROGRESS_TIMEOUT_MILLIS;
         while (!cluster.on(() -> cluster.state().keys("outstanding/").isEmpty())) {
-            if (System.currentTimeMillis() > untilMillis) {
-                throw new AssertionError(
-                        "left on record: " + cluster.on(() -> cluster.state().keys("outstanding/")));
+            if (System.currentTimeMillis() > deadlineMillis) {
+                throw new AssertionError("records of outstanding jobs are not deleted: "
+                        + cluster.on(() -> cluster.state().keys("outstanding/")));
             }
             Thread.sleep(300);
         }
     }
 
-    /** Processes that have ended took their counts with them, but not their logs. */
+    /** Checks the logs for limit violations, since the log of a killed process remains and its metrics do not. */
     private void checkLogs() throws IOException {
         for (String name : cluster.names()) {
             for (String line : Files.readAllLines(directory.resolve(name + ".log"))) {
@@ -240,11 +250,11 @@
         }
     }
 
-    private synchronized void note(String event) {
-        double seconds = beganMillis == 0 ? 0 : (System.currentTimeMillis() - beganMillis) / 1e3;
-        events.add(String.format("%8.3f %s", seconds, event));
-        if (events.size() > MOST_EVENTS_KEPT) {
-            events.remove();
+    private synchronized void logEvent(String event) {
+        double seconds = faultsStartMillis == 0 ? 0 : (System.currentTimeMillis() - faultsStartMillis) / 1e3;
+        eventLog.add(String.format("%8.3f %s", seconds, event));
+        if (eventLog.size() > MAX_LOGGED_EVENTS) {
+            eventLog.remove();
         }
     }
 
@@ -258,7 +268,7 @@
                 cluster.rules().starts.values().stream()
                         .mapToInt(Integer::intValue)
                         .sum(),
-                Map.copyOf(happened),
+                Map.copyOf(injectedFaults),
                 Map.copyOf(cluster.faults().effects()),
                 directory));
     }
--- a/src/test/java/org/weldcourse/soak/package-info.java
+++ b/src/test/java/org/weldcourse/soak/package-info.java
@@ -1,2 +1,5 @@
-/** A randomized fault test over the loopback: real controllers, stand-ins for all else, and rules checked from outside. */
+/**
+ * Soak tests: real controller processes on the loopback interface, fakes for every other component, random faults, and
+ * invariants that are checked from outside the controllers.
+ */
 package org.weldcourse.soak;
