--- a/src/test/java/org/weldcourse/soak/SoakRun.java
+++ b/src/test/java/org/weldcourse/soak/SoakRun.java
@@ -22,7 +22,7 @@
     /** How long requests about a job may stay unanswered after the faults have ended, before the job counts as lost. */
     private static final long ANSWER_TIMEOUT_MICROS = 75_000_000;
     /**
-     * How long a run may go on without the start of a task or the end of a job. No task runs for longer, and no
+     * How long a run may go on without the first start of a task or the end of a job. No task runs for longer, and no
      * evidence that a task has ended takes longer, so a run that exceeds this time is stuck.
      */
     private static final long PROGRESS_TIMEOUT_MILLIS = 90_000;
@@ -189,8 +189,8 @@
                 previousProgress = progress;
                 lastProgressMillis = System.currentTimeMillis();
             } else if (System.currentTimeMillis() - lastProgressMillis > PROGRESS_TIMEOUT_MILLIS) {
-                throw new AssertionError("no task starts or ends; unfinished jobs: " + unfinished + "; records: "
-                        + cluster.on(() -> cluster.state().keys("")));
+                throw new AssertionError("no new task starts and no job ends; unfinished jobs: " + unfinished
+                        + "; records: " + cluster.on(() -> cluster.state().keys("")));
             }
             Thread.sleep(300);
         }
