--- a/src/main/java/org/weldcourse/app/CommandLineModel.java
+++ b/src/main/java/org/weldcourse/app/CommandLineModel.java
@@ -7,41 +7,47 @@
 import picocli.CommandLine.Model.PositionalParamSpec;
 
 /**
- * The commands and their options. They are described to picocli in calls rather than annotations: a controller's start
- * is charged to its small share of a core, and reading annotations by reflection was a good part of it.
+ * Defines the commands and their options through picocli's programmatic API. Annotations are not used: reading them by
+ * reflection took a considerable part of the startup time, and a controller has only a small share of a CPU core.
  */
 final class CommandLineModel {
     private CommandLineModel() {}
 
     static CommandLine commandLine() {
         return new CommandLine(main())
-                .addSubcommand("check", command("check", "Checks the settings and ends without starting anything."))
+                .addSubcommand("check", command("check", "Checks the settings without starting a controller."))
                 .addSubcommand("limits", limits())
-                .addSubcommand("warm-up", hidden("warm-up", "Loads what a controller needs, for the build."));
+                .addSubcommand(
+                        "warm-up",
+                        hidden("warm-up", "Loads the classes of a controller, for the class archive of the build."));
     }
 
     private static CommandSpec limits() {
-        CommandSpec set = command("set", "Changes a team's limit on record; what is not named stays as it is.");
-        set.addPositional(name("TEAM", "The team, as in the settings."));
+        CommandSpec set =
+                command("set", "Changes a team's recorded limits; an option that is left out changes nothing.");
+        set.addPositional(name("TEAM", "The team's name in the settings file."));
         set.addOption(amount("--cpus", "The guarantee in CPUs."));
         set.addOption(amount("--gpus", "The guarantee in GPUs."));
-        set.addOption(option("--cohort", "NAME", String.class, "The cohort that the team borrows in, or none."));
+        set.addOption(option(
+                "--cohort", "NAME", String.class, "The cohort whose unused capacity the team may borrow, or none."));
         addLimits(set);
-        CommandSpec setCohort = command("set-cohort", "Changes or creates a cohort: what its teams may use together.");
-        setCohort.addPositional(name("NAME", "The cohort."));
+        CommandSpec setCohort =
+                command("set-cohort", "Creates a cohort or changes the limits on its teams' total use.");
+        setCohort.addPositional(name("NAME", "The cohort's name."));
         addLimits(setCohort);
-        CommandSpec limits = command("limits", "Shows or changes the limits on record.");
-        limits.addSubcommand("show", command("show", "Prints every limit."));
+        CommandSpec limits = command("limits", "Shows or changes the recorded limits.");
+        limits.addSubcommand("show", command("show", "Prints all recorded limits."));
         limits.addSubcommand("set", set);
         limits.addSubcommand("set-cohort", setCohort);
         return limits;
     }
 
     private static void addLimits(CommandSpec set) {
-        set.addOption(amount("--cpus-max", "The limit in CPUs; 0 for none."));
-        set.addOption(amount("--gpus-max", "The limit in GPUs; 0 for none."));
-        String policies = "What is over the limit: drain (runs to its end) or displace (is stopped).";
-        set.addOption(option("--over", "POLICY", String.class, policies));
+        set.addOption(amount("--cpus-max", "The limit in CPUs; 0 means no limit."));
+        set.addOption(amount("--gpus-max", "The limit in GPUs; 0 means no limit."));
+        String overDescription =
+                "Tasks above the limit: drain (they run to completion) or displace (they are stopped).";
+        set.addOption(option("--over", "POLICY", String.class, overDescription));
     }
 
     private static PositionalParamSpec name(String label, String description) {
@@ -71,7 +77,7 @@
                 .version("weldcourse " + Main.VERSION)
                 .addOption(OptionSpec.builder("-V", "--version")
                         .versionHelp(true)
-                        .description("Print the version and end.")
+                        .description("Print the version and exit.")
                         .build());
     }
 
@@ -86,11 +92,12 @@
                 .addOption(OptionSpec.builder("--operators")
                         .paramLabel("FILE")
                         .type(Path.class)
-                        .description("Operators' own settings (XML); what is left out keeps its default.")
+                        .description(
+                                "The operators' settings file (XML); settings that are left out keep their defaults.")
                         .build())
                 .addOption(OptionSpec.builder("-h", "--help")
                         .usageHelp(true)
-                        .description("Print this help and end.")
+                        .description("Print this help and exit.")
                         .build());
         spec.usageMessage().description(description);
         return spec;
--- a/src/main/java/org/weldcourse/app/Commands.java
+++ b/src/main/java/org/weldcourse/app/Commands.java
@@ -9,55 +9,56 @@
 import picocli.CommandLine;
 import picocli.CommandLine.ParseResult;
 
-/** Runs the command that a command line names. */
+/** Parses the command line and runs the selected command. */
 final class Commands {
     private Commands() {}
 
-    /** Runs the command and tells the exit code; a controller that was started runs on. */
+    /** Runs the command and returns the exit code; a started controller continues to run after the return. */
     static int run(String[] args) throws Exception {
-        ParseResult first;
+        ParseResult root;
         try {
-            first = CommandLineModel.commandLine().parseArgs(args);
-        } catch (CommandLine.ParameterException wrong) {
-            throw new UsageException(wrong.getMessage() + " (see --help)");
+            root = CommandLineModel.commandLine().parseArgs(args);
+        } catch (CommandLine.ParameterException invalid) {
+            throw new UsageException(invalid.getMessage() + " (see --help)");
         }
-        ParseResult last = first;
-        while (last.hasSubcommand()) {
-            last = last.subcommand();
+        ParseResult selected = root;
+        while (selected.hasSubcommand()) {
+            selected = selected.subcommand();
         }
-        CommandLine chosen = last.commandSpec().commandLine();
-        if (chosen.isUsageHelpRequested()) {
-            chosen.usage(System.out);
-        } else if (chosen.isVersionHelpRequested()) {
-            chosen.printVersionHelp(System.out);
+        CommandLine commandLine = selected.commandSpec().commandLine();
+        if (commandLine.isUsageHelpRequested()) {
+            commandLine.usage(System.out);
+        } else if (commandLine.isVersionHelpRequested()) {
+            commandLine.printVersionHelp(System.out);
         } else {
-            run(last, first);
+            run(selected, root);
         }
         return 0;
     }
 
-    private static void run(ParseResult last, ParseResult first) throws Exception {
-        String name = last.commandSpec().name();
+    private static void run(ParseResult selected, ParseResult root) throws Exception {
+        String name = selected.commandSpec().name();
         if (name.equals("warm-up")) {
             WarmUp.run();
             return;
         }
-        Path config = option(last, first, "--config");
+        Path config = option(selected, root, "--config");
         if (config == null) {
             throw new UsageException("--config FILE is needed (see --help)");
         }
-        Path operators = option(last, first, "--operators");
+        Path operators = option(selected, root, "--operators");
         switch (name) {
-            case "show" -> limits(config).show(System.out);
-            case "set" -> limits(config).set(named(last), change(last), System.out);
-            case "set-cohort" -> limits(config).setCohort(named(last), change(last), System.out);
+            case "show" -> quotaCommand(config).show(System.out);
+            case "set" -> quotaCommand(config).set(nameArgument(selected), quotaChange(selected), System.out);
+            case "set-cohort" ->
+                quotaCommand(config).setCohort(nameArgument(selected), quotaChange(selected), System.out);
             case "limits" -> throw new UsageException("limits: show, set or set-cohort is needed (see limits --help)");
             case "check" -> check(config, operators);
             default -> Main.startController(config, operators);
         }
     }
 
-    private static QuotaCommand limits(Path config) throws Exception {
+    private static QuotaCommand quotaCommand(Path config) throws Exception {
         return new QuotaCommand(SettingsFile.read(config));
     }
 
@@ -67,27 +68,27 @@
         System.out.println("settings are valid");
     }
 
-    /** The options may stand before a subcommand or behind it. */
-    private static Path option(ParseResult last, ParseResult first, String name) {
-        return last.matchedOptionValue(name, first.matchedOptionValue(name, (Path) null));
+    /** Reads an option that may be given before or after the subcommand. */
+    private static Path option(ParseResult selected, ParseResult root, String name) {
+        return selected.matchedOptionValue(name, root.matchedOptionValue(name, (Path) null));
     }
 
-    private static String named(ParseResult call) {
-        return call.matchedPositionalValue(0, "");
+    private static String nameArgument(ParseResult command) {
+        return command.matchedPositionalValue(0, "");
     }
 
-    private static QuotaChange change(ParseResult set) throws UsageException {
-        String over = set.matchedOptionValue("--over", (String) null);
+    private static QuotaChange quotaChange(ParseResult options) throws UsageException {
+        String over = options.matchedOptionValue("--over", (String) null);
         Optional<OverQuotaPolicy> policy = OverQuotaPolicy.fromExternalName(over);
         if (over != null && policy.isEmpty()) {
-            throw new UsageException("over: must be drain or displace, not " + over);
+            throw new UsageException("--over must be drain or displace, not " + over);
         }
         return new QuotaChange(
-                set.matchedOptionValue("--cpus", (Double) null),
-                set.matchedOptionValue("--cpus-max", (Double) null),
-                set.matchedOptionValue("--gpus", (Double) null),
-                set.matchedOptionValue("--gpus-max", (Double) null),
+                options.matchedOptionValue("--cpus", (Double) null),
+                options.matchedOptionValue("--cpus-max", (Double) null),
+                options.matchedOptionValue("--gpus", (Double) null),
+                options.matchedOptionValue("--gpus-max", (Double) null),
                 policy.orElse(null),
-                set.matchedOptionValue("--cohort", (String) null));
+                options.matchedOptionValue("--cohort", (String) null));
     }
 }
--- a/src/main/java/org/weldcourse/app/Controller.java
+++ b/src/main/java/org/weldcourse/app/Controller.java
@@ -27,8 +27,8 @@
 import org.weldcourse.workers.StartCounts;
 
 /**
- * One controller: makes its parts, connects them, starts and stops them. It owns the leader's term, which lasts from
- * election to deposition; all other state is its parts' own. All of it runs on one event loop.
+ * One controller: creates, connects, starts and stops its components on one event loop. Its only state of its own is
+ * the leader term, which exists from this node's election as leader until it loses leadership.
  */
 public final class Controller {
     private final Settings settings;
@@ -41,7 +41,7 @@
     private final Optional<QuotaLedger> quotaLedger;
     private final Readiness readiness;
     private final StartCounts startCounts = new StartCounts();
-    private final LeaderTermDependencies termDependencies;
+    private final LeaderTermDependencies leaderTermDependencies;
     private final HttpRouter router;
     private final StatusLogTask statusLog;
     private final StoreProbeTask storeProbe;
@@ -49,32 +49,33 @@
     private LeaderTerm term;
 
     /**
-     * A controller on the given network, clock and timers. {@code process} tells this process from any other that had or
-     * will have the same node name.
+     * Creates a controller that uses the given HTTP client, clock and timers.
+     *
+     * @param processId distinguishes this process from earlier and later processes of the same node
      */
     public Controller(
             Settings settings,
             OperatorSettings operatorSettings,
-            HttpClient caller,
+            HttpClient httpClient,
             Clock clock,
             Timers timers,
-            String process) {
+            String processId) {
         this.settings = settings;
         this.clock = clock;
         this.timers = timers;
         this.peers = new Peers(clock, new PeerEvents());
-        this.store = new Store(caller, clock, settings.storeAddress());
-        CloudClient cloud = new CloudClient(caller, settings.cloudAddress());
+        this.store = new Store(httpClient, clock, settings.storeAddress());
+        CloudClient cloud = new CloudClient(httpClient, settings.cloudAddress());
         this.election = new LeaderElection(
                 settings.nodeName(), store, clock, timers, operatorSettings.leaderLeaseMicros(), new ElectionEvents());
         this.machineTypes = new MachineTypeCatalog(store, cloud, clock, timers, election::isLeader);
         this.readiness = new Readiness(settings, clock, store, peers, machineTypes, election);
         Optional<RecordedTeamQuotas> recordedQuotas = recordedQuotas(operatorSettings);
         this.quotaLedger = recordedQuotas.map(RecordedTeamQuotas::ledger);
-        this.termDependencies = new LeaderTermDependencies(
+        this.leaderTermDependencies = new LeaderTermDependencies(
                 store,
                 cloud,
-                caller,
+                httpClient,
                 clock,
                 timers,
                 settings,
@@ -84,7 +85,7 @@
                 readiness::isStoreOutageShared,
                 recordedQuotas,
                 startCounts);
-        JobApi jobs = new JobApi(store, settings, clock, timers, machineTypes::known, submissionQuota(process));
+        JobApi jobs = new JobApi(store, settings, clock, timers, machineTypes::known, submissionQuota(processId));
         this.router = new HttpRouter(
                 jobs, new HeartbeatEndpoint(settings.nodeName(), election, () -> term), readiness, this::metrics);
         ProcessMetrics processMetrics = new ProcessMetrics();
@@ -92,7 +93,7 @@
         this.storeProbe = new StoreProbeTask(store, processMetrics, clock, timers);
     }
 
-    /** Made only where they are switched on: their libraries are loaded with the first use. */
+    /** Creates the quota ledger only if it is enabled, so that its libraries are not loaded otherwise. */
     private Optional<RecordedTeamQuotas> recordedQuotas(OperatorSettings operatorSettings) {
         return switch (operatorSettings.teamLimitSource()) {
             case SETTINGS -> Optional.empty();
@@ -105,14 +106,14 @@
         return new RecordedTeamQuotas(new QuotaLedger(store, settings, clock, timers), new BudgetPlanner(division));
     }
 
-    private SubmissionQuota submissionQuota(String process) {
-        String owner = settings.nodeName() + "#" + process;
+    private SubmissionQuota submissionQuota(String processId) {
+        String owner = settings.nodeName() + "#" + processId;
         return quotaLedger
                 .<SubmissionQuota>map(ledger -> new BudgetedSubmissionQuota(ledger, owner))
                 .orElseGet(SettingsSubmissionQuota::new);
     }
 
-    /** Starts the background tasks: this node stands for election from now on. */
+    /** Starts the background tasks, among them the leader election. */
     public void start() {
         election.start();
         machineTypes.start();
@@ -121,7 +122,7 @@
         quotaLedger.ifPresent(QuotaLedger::start);
     }
 
-    /** Stops the leader's term first, then all background tasks. */
+    /** Ends the leader term, then cancels all background tasks. */
     public void stop() {
         endTerm();
         election.cancel();
@@ -136,25 +137,25 @@
         return router;
     }
 
-    /** What is known of the other controllers. */
+    /** The other controllers and their last reported state. */
     public Peers peers() {
         return peers;
     }
 
-    /** Whether this node believes it is the leader. */
+    /** Whether this node holds the leader's lease, as far as it knows. */
     public boolean isLeader() {
         return election.isLeader();
     }
 
-    /** Starts of tasks since the process began, over all of its terms as the leader. */
+    /** Counts of task starts in all leader terms since the process started. */
     public StartCounts startCounts() {
         return startCounts;
     }
 
-    /** What a scrape shows of this controller, in the text format of Prometheus. */
+    /** The metrics of this controller in the Prometheus text format. */
     public String metrics() {
         ControllerMetrics metrics = new ControllerMetrics();
-        metrics.addProcess(election.isLeader(), startCounts);
+        metrics.reportProcess(election.isLeader(), startCounts);
         if (term != null) {
             term.reportTo(metrics);
         }
@@ -168,11 +169,11 @@
         }
     }
 
-    /** Begins and ends the leader's term. */
+    /** Starts a leader term when this node is elected and ends it when this node loses leadership. */
     private final class ElectionEvents implements LeaderElection.Listener {
         @Override
         public void elected(long fencingToken, long fencingTokenVersion) {
-            term = new LeaderTerm(termDependencies, fencingToken, fencingTokenVersion);
+            term = new LeaderTerm(leaderTermDependencies, fencingToken, fencingTokenVersion);
             term.start();
         }
 
@@ -182,7 +183,7 @@
         }
     }
 
-    /** Tells the peers of this node, and the election what is heard of them. */
+    /** Reports this node's status to its peers, and passes their reports to the election. */
     private final class PeerEvents implements Peers.LocalNode {
         @Override
         public PeerStatus status() {
@@ -190,8 +191,8 @@
                     settings.nodeName(),
                     election.fencingToken(),
                     election.isLeader(),
-                    readiness.reachesStore(),
-                    readiness.servesUsersAsFollower());
+                    readiness.isStoreReachable(),
+                    readiness.servesUsersAsStandby());
         }
 
         @Override
--- a/src/main/java/org/weldcourse/app/ControllerMetrics.java
+++ b/src/main/java/org/weldcourse/app/ControllerMetrics.java
@@ -4,39 +4,52 @@
 import org.weldcourse.quota.ResourceAmount;
 import org.weldcourse.workers.StartCounts;
 
-/** What one controller shows to a scrape of {@code /metrics}, by the names that operators see. */
+/** The metrics that a controller serves at {@code /metrics}. */
 final class ControllerMetrics implements LeaderTermMetrics {
     private final MetricsText text = new MetricsText();
 
-    /** Adds what counts whether or not this controller is the leader. */
-    void addProcess(boolean leads, StartCounts counts) {
-        text.add("leads", "Whether this controller believes to lead.", leads ? 1 : 0);
-        text.add("starts_total", "Tasks that were told to run.", counts.started());
-        text.add("starts_withheld_total", "Starts that waited for tasks without a booking.", counts.withheld());
+    /** Adds the metrics that exist whether or not this controller is the leader. */
+    void reportProcess(boolean isLeader, StartCounts counts) {
+        text.add("leads", "Whether this controller is the leader, as far as it knows.", isLeader ? 1 : 0);
+        text.add("starts_total", "Tasks that workers were told to run.", counts.started());
+        text.add(
+                "starts_withheld_total",
+                "Starts withheld because running tasks without a booking still count against the limit.",
+                counts.withheld());
         text.add(
                 "limit_violations_total",
-                "Starts that were refused because a team had more booked than its limit: a fault of the program.",
+                "Starts refused because a team's bookings exceeded its limit, which indicates a bug.",
                 counts.violations());
     }
 
     @Override
     public void reportTerm(
             long fencingToken, boolean loaded, long recordsRevision, int outstandingJobs, int unknownTasks) {
-        text.add("token", "The token that this leader's workers obey.", fencingToken);
-        text.add("records_loaded", "Whether this leader has read the records.", loaded ? 1 : 0);
-        text.add("records_revision", "The revision that the records were read at.", recordsRevision);
-        text.add("outstanding_jobs", "Jobs that are over while tasks of them may be on machines.", outstandingJobs);
-        text.add("unknown_tasks", "Tasks on machines whose job is not known.", unknownTasks);
+        text.add("token", "The fencing token of this leader.", fencingToken);
+        text.add("records_loaded", "Whether this leader has loaded the records.", loaded ? 1 : 0);
+        text.add("records_revision", "The store revision at which the records were loaded.", recordsRevision);
+        text.add("outstanding_jobs", "Ended jobs of which tasks may still run on machines.", outstandingJobs);
+        text.add("unknown_tasks", "Tasks on machines that belong to no known job.", unknownTasks);
     }
 
     @Override
     public void reportTeam(String team, ResourceAmount booked, ResourceAmount notBooked, ResourceAmount limit) {
-        text.addForTeam("team_booked_cpus", "CPUs that the team's bookings take.", team, booked.cpus());
-        text.addForTeam("team_booked_gpus", "GPUs that the team's bookings take.", team, booked.gpus());
-        text.addForTeam("team_unbooked_cpus", "CPUs that count without a booking.", team, notBooked.cpus());
-        text.addForTeam("team_unbooked_gpus", "GPUs that count without a booking.", team, notBooked.gpus());
-        text.addForTeam("team_limit_cpus", "The team's limit, +Inf for none.", team, orInfinity(limit.cpuLimit()));
-        text.addForTeam("team_limit_gpus", "The team's limit, +Inf for none.", team, orInfinity(limit.gpuLimit()));
+        text.addForTeam("team_booked_cpus", "CPUs of the team's bookings.", team, booked.cpus());
+        text.addForTeam("team_booked_gpus", "GPUs of the team's bookings.", team, booked.gpus());
+        text.addForTeam(
+                "team_unbooked_cpus", "CPUs of the team's tasks that run without a booking.", team, notBooked.cpus());
+        text.addForTeam(
+                "team_unbooked_gpus", "GPUs of the team's tasks that run without a booking.", team, notBooked.gpus());
+        text.addForTeam(
+                "team_limit_cpus",
+                "The team's limit in CPUs; +Inf means no limit.",
+                team,
+                orInfinity(limit.cpuLimit()));
+        text.addForTeam(
+                "team_limit_gpus",
+                "The team's limit in GPUs; +Inf means no limit.",
+                team,
+                orInfinity(limit.gpuLimit()));
     }
 
     private static double orInfinity(double limit) {
--- a/src/main/java/org/weldcourse/app/HeartbeatEndpoint.java
+++ b/src/main/java/org/weldcourse/app/HeartbeatEndpoint.java
@@ -14,7 +14,9 @@
 import org.weldcourse.workers.HeartbeatCodec;
 import org.weldcourse.workers.MalformedHeartbeatException;
 
-/** Entry of the workers' heartbeats: hands them to the leader's term here, or names the leader. */
+/**
+ * Receives the workers' heartbeats: passes them to the leader term on the leader, and redirects them on other nodes.
+ */
 final class HeartbeatEndpoint {
     private static final Logger LOG = LoggerFactory.getLogger(HeartbeatEndpoint.class);
     private static final int MAX_LOGGED_BYTES = 200;
@@ -24,14 +26,21 @@
     private final Supplier<LeaderTerm> currentTerm;
     private boolean hasLoggedMalformed;
 
-    /** An endpoint of the node with this name; {@code currentTerm} gives null while this node is not the leader. */
+    /**
+     * Creates the endpoint of a node.
+     *
+     * @param currentTerm supplies the leader term, or null while this node is not the leader
+     */
     HeartbeatEndpoint(String nodeName, LeaderElection election, Supplier<LeaderTerm> currentTerm) {
         this.nodeName = nodeName;
         this.election = election;
         this.currentTerm = currentTerm;
     }
 
-    /** Answers 421 with the leader's name where another node leads, 400 to a malformed one, else as the term does. */
+    /**
+     * Answers a heartbeat: 421 with the leader's name, if known, when this node is not the leader; 400 when the
+     * heartbeat is malformed; otherwise the leader term answers.
+     */
     void handle(Request request, Reply reply) {
         LeaderTerm term = currentTerm.get();
         if (term == null || !election.isLeader()) {
@@ -43,14 +52,14 @@
         try {
             heartbeat = HeartbeatCodec.decode(request.body());
         } catch (MalformedHeartbeatException malformed) {
-            logFirst(malformed, request.body());
+            logFirstMalformed(malformed, request.body());
             reply.send(400, Json.of("error", "not a report"));
             return;
         }
         term.handleHeartbeat(heartbeat, reply);
     }
 
-    private void logFirst(MalformedHeartbeatException malformed, byte[] body) {
+    private void logFirstMalformed(MalformedHeartbeatException malformed, byte[] body) {
         if (hasLoggedMalformed) {
             return;
         }
--- a/src/main/java/org/weldcourse/app/Main.java
+++ b/src/main/java/org/weldcourse/app/Main.java
@@ -6,14 +6,14 @@
 import org.weldcourse.settings.OperatorSettings;
 import org.weldcourse.settings.SettingsFile;
 
-/** The program: sets up logging, runs what the command line asks for, and says why when that fails. */
+/** The program's entry point: configures logging, runs the command line and reports errors. */
 public final class Main {
-    /** What runs here: said at the start and in every status line, so that an upgrade can be followed. */
+    /** The program's version, logged at startup and in every status line so that operators can follow an upgrade. */
     static final String VERSION = "0.3.0";
 
-    /** The exit code of a command that failed. */
+    /** The exit code of a failed command. */
     static final int EXIT_FAILURE = 1;
-    /** The exit code for a wrong command line and for wrong settings. */
+    /** The exit code for an invalid command line and for invalid settings. */
     static final int EXIT_USAGE_ERROR = 2;
 
     private Main() {}
@@ -22,16 +22,16 @@
     public static void main(String[] args) {
         String level = System.getenv("LOG_LEVEL");
         System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", level == null ? "info" : level);
-        // Named here, or every library would be opened and searched for one.
+        // Names the provider explicitly; otherwise SLF4J searches every library for one.
         System.setProperty("slf4j.provider", "org.slf4j.simple.SimpleServiceProvider");
         System.setProperty("slf4j.internal.verbosity", "WARN");
-        int code = run(args);
-        if (code != 0) {
-            System.exit(code);
+        int exitCode = run(args);
+        if (exitCode != 0) {
+            System.exit(exitCode);
         }
     }
 
-    /** Runs the command line and tells the exit code; a controller that was started runs on. */
+    /** Runs the command line and returns the exit code; a started controller continues to run after the return. */
     static int run(String[] args) {
         try {
             if (isPlatformInvocation(args)) {
@@ -39,8 +39,8 @@
                 return 0;
             }
             return Commands.run(args);
-        } catch (InvalidSettingsException | UsageException wrong) {
-            System.err.println("weldcourse: " + wrong.getMessage());
+        } catch (InvalidSettingsException | UsageException invalid) {
+            System.err.println("weldcourse: " + invalid.getMessage());
             return EXIT_USAGE_ERROR;
         } catch (QuotaLedgerException failed) {
             System.err.println("weldcourse: " + failed.getMessage());
@@ -52,23 +52,24 @@
     }
 
     /**
-     * The one call that the platform makes. It says all that there is to read, so that picocli is left for what people
-     * type: its hundred classes are a fifth of a start.
+     * Whether the arguments are those with which the platform starts a controller: {@code --config FILE} alone. They
+     * are handled without picocli, whose hundred classes take a fifth of the startup time.
      */
     static boolean isPlatformInvocation(String[] args) {
         return args.length == 2 && args[0].equals("--config") && !args[1].startsWith("-");
     }
 
     /**
-     * Starts a controller, which runs on after this.
+     * Starts a controller, which continues to run after the return.
      *
-     * @param operators the operators' own settings, or null for the defaults
+     * @param config the platform's settings file
+     * @param operators the operators' settings file, or null for the defaults
      */
     static void startController(Path config, Path operators) throws Exception {
         new Node(SettingsFile.read(config), operatorSettings(operators)).start();
     }
 
-    /** Reads the operators' own settings; null stands for the defaults. */
+    /** Reads the operators' settings file; a null file gives the defaults. */
     static OperatorSettings operatorSettings(Path operators) throws InvalidSettingsException {
         return operators == null ? OperatorSettings.DEFAULT : OperatorSettings.read(operators);
     }
--- a/src/main/java/org/weldcourse/app/MetricsText.java
+++ b/src/main/java/org/weldcourse/app/MetricsText.java
@@ -3,16 +3,16 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Metrics in the text format that Prometheus scrapes. All of them are gauges or counters without a time of their own. */
+/** Builds gauges and counters, without timestamps, in the Prometheus text format. */
 public final class MetricsText {
     private static final String PREFIX = "weldcourse_";
 
-    /** The lines of each metric, since the format wants them together. */
+    /** The lines of each metric by its name; the format requires all lines of a metric in one group. */
     private final Map<String, StringBuilder> linesByMetric = new LinkedHashMap<>();
 
     /** Adds a metric without labels. */
     public MetricsText add(String name, String help, double value) {
-        lines(name, help)
+        linesFor(name, help)
                 .append(PREFIX)
                 .append(name)
                 .append(' ')
@@ -21,9 +21,9 @@
         return this;
     }
 
-    /** Adds a metric of one team. */
+    /** Adds a metric with the label {@code team}. */
     public MetricsText addForTeam(String name, String help, String team, double value) {
-        lines(name, help)
+        linesFor(name, help)
                 .append(PREFIX)
                 .append(name)
                 .append("{team=\"")
@@ -34,8 +34,8 @@
         return this;
     }
 
-    private StringBuilder lines(String name, String help) {
-        return linesByMetric.computeIfAbsent(name, first -> {
+    private StringBuilder linesFor(String name, String help) {
+        return linesByMetric.computeIfAbsent(name, unused -> {
             String type = name.endsWith("_total") ? "counter" : "gauge";
             return new StringBuilder(
                     "# HELP " + PREFIX + name + " " + help + "\n# TYPE " + PREFIX + name + " " + type + "\n");
--- a/src/main/java/org/weldcourse/app/Node.java
+++ b/src/main/java/org/weldcourse/app/Node.java
@@ -18,35 +18,35 @@
 import org.weldcourse.settings.OperatorSettings;
 import org.weldcourse.settings.Settings;
 
-/** A controller on a real network: one event loop, a listener for users and workers and one for peers. */
+/** Runs a controller on the network: one event loop, a listener for users and workers, and a listener for peers. */
 public final class Node {
     private static final Logger LOG = LoggerFactory.getLogger(Node.class);
-    /** The part of the inbound connections that workers can't use up. */
-    private static final double USERS_SHARE = 0.15;
-    /** A connection silent for so many heartbeat intervals may be closed to make room for a new one. */
-    private static final int EVICTABLE_AFTER_HEARTBEATS = 3;
-    /** A connection silent for so many worker leases is closed. */
-    private static final int CLOSED_AFTER_LEASES = 2;
+    /** The share of inbound connections that is reserved for users and not available to workers. */
+    private static final double USER_CONNECTION_SHARE = 0.15;
+    /** A connection that is silent for this many heartbeat intervals may be closed in favor of a new one. */
+    private static final int EVICTABLE_AFTER_SILENT_HEARTBEATS = 3;
+    /** A connection that is silent for this many worker leases is closed. */
+    private static final int CLOSE_AFTER_SILENT_LEASES = 2;
 
-    private static final long WARM_UP_AFTER_MICROS = 1_500_000;
+    private static final long WARM_UP_DELAY_MICROS = 1_500_000;
 
     private final Settings settings;
     private final EventLoop eventLoop;
     private final EventLoopTimers timers;
     private final Controller controller;
     private final Server server;
-    private StandbyWarmUp warmUp;
+    private StandbyWarmUp standbyWarmUp;
 
-    /** A node that listens once it is started. */
+    /** Creates a node; {@link #start} opens its listeners. */
     public Node(Settings settings, OperatorSettings operatorSettings) {
         this.settings = settings;
         this.eventLoop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
         this.timers = new EventLoopTimers(eventLoop);
-        NettyHttpClient caller = new NettyHttpClient(eventLoop, this::idleSockets);
+        NettyHttpClient httpClient = new NettyHttpClient(eventLoop, this::maxIdleSockets);
         this.controller = new Controller(
                 settings,
                 operatorSettings,
-                caller,
+                httpClient,
                 timers,
                 timers,
                 UUID.randomUUID().toString());
@@ -57,26 +57,29 @@
                 timers,
                 new Server.Limits(
                         inboundConnections,
-                        (int) (inboundConnections * (1 - USERS_SHARE)),
-                        EVICTABLE_AFTER_HEARTBEATS * settings.workers().heartbeatIntervalMicros(),
-                        CLOSED_AFTER_LEASES * settings.workers().leaseMicros()),
-                caller::trim);
+                        (int) (inboundConnections * (1 - USER_CONNECTION_SHARE)),
+                        EVICTABLE_AFTER_SILENT_HEARTBEATS * settings.workers().heartbeatIntervalMicros(),
+                        CLOSE_AFTER_SILENT_LEASES * settings.workers().leaseMicros()),
+                httpClient::trim);
     }
 
-    /** What inbound connections leave free may idle on the node's own calls: a new connection for each message costs more. */
-    private int idleSockets() {
+    /**
+     * All sockets that inbound connections leave free may hold idle outbound ones: reuse is cheaper than a new
+     * connection.
+     */
+    private int maxIdleSockets() {
         int free = settings.maxSockets() - settings.outboundSockets() - server.openConnections();
         return Math.max(settings.reservedIdleSockets(), free);
     }
 
-    /** Listens to users, workers and peers, and starts the controller. */
+    /** Opens the listeners for users, workers and peers, and starts the controller. */
     public void start() throws InterruptedException {
         server.listen(settings.listenAddress());
         PeerConnections peerConnections = new PeerConnections(eventLoop, timers, controller.peers());
         peerConnections.listen(settings.peerAddress());
         settings.peers().forEach(peerConnections::sendHeartbeatsTo);
         eventLoop.execute(controller::start);
-        eventLoop.schedule(this::startWarmUp, WARM_UP_AFTER_MICROS, TimeUnit.MICROSECONDS);
+        eventLoop.schedule(this::startWarmUp, WARM_UP_DELAY_MICROS, TimeUnit.MICROSECONDS);
         LOG.info(
                 "version {}: {} in {} listens on {}",
                 Main.VERSION,
@@ -85,27 +88,30 @@
                 settings.listenAddress());
     }
 
-    /** In the time that is left over, a standby warms up the leader's code, by way of a server as real requests take. */
+    /**
+     * Starts the warm-up of the leader's code, which runs while this node is a standby. Its requests pass through a
+     * server of their own, so that the HTTP code is warmed up too.
+     */
     private void startWarmUp() {
-        warmUp = new StandbyWarmUp(settings, timers, timers, () -> !controller.isLeader());
+        standbyWarmUp = new StandbyWarmUp(settings, timers, timers, () -> !controller.isLeader());
         Server warmUpServer = new Server(
-                eventLoop, warmUp, timers, new Server.Limits(1, 1, Long.MAX_VALUE, Long.MAX_VALUE), () -> {});
+                eventLoop, standbyWarmUp, timers, new Server.Limits(1, 1, Long.MAX_VALUE, Long.MAX_VALUE), () -> {});
         EmbeddedChannel connection = new EmbeddedChannel();
         warmUpServer.serve(connection);
-        warmUp.useConnection(request -> {
+        standbyWarmUp.useConnection(request -> {
             connection.writeInbound(Unpooled.wrappedBuffer(request));
             for (ByteBuf out = connection.readOutbound(); out != null; out = connection.readOutbound()) {
                 out.release();
             }
         });
-        warmUp.start();
+        standbyWarmUp.start();
     }
 
-    /** Stops the controller and then the event loop that it runs on. */
+    /** Stops the controller, then its event loop. */
     public void stop() {
         eventLoop.execute(() -> {
-            if (warmUp != null) {
-                warmUp.cancel();
+            if (standbyWarmUp != null) {
+                standbyWarmUp.cancel();
             }
             controller.stop();
         });
--- a/src/main/java/org/weldcourse/app/ProcessMetrics.java
+++ b/src/main/java/org/weldcourse/app/ProcessMetrics.java
@@ -1,28 +1,28 @@
 package org.weldcourse.app;
 
-/** Load of the process, for the log: how late its background tasks begin, its processor time, its heap. */
+/** Measures the load of the process for the log: the delay of its background tasks, its CPU time and its heap. */
 final class ProcessMetrics {
     private static final long MEGABYTE = 1024 * 1024;
 
-    private long maxLateMicros;
+    private long maxLatenessMicros;
 
-    /** A background task began so many microseconds later than due. */
+    /** Records how much later than due a background task started. */
     void recordLateness(long micros) {
-        maxLateMicros = Math.max(maxLateMicros, micros);
+        maxLatenessMicros = Math.max(maxLatenessMicros, micros);
     }
 
-    /** One line about the time since the last call. */
+    /** Describes the load in one line and resets the greatest delay. */
     String summarizeAndReset() {
         Runtime runtime = Runtime.getRuntime();
-        String processor = ProcessHandle.current()
+        String cpuTime = ProcessHandle.current()
                 .info()
                 .totalCpuDuration()
-                .map(used -> "processor " + used.toMillis() / 1_000.0 + " s since the start, ")
+                .map(used -> "CPU time " + used.toMillis() / 1_000.0 + " s since start, ")
                 .orElse("");
-        String line = processor + "late by " + maxLateMicros / 1_000 + " ms at most, heap "
+        String line = cpuTime + "background tasks late by " + maxLatenessMicros / 1_000 + " ms at most, heap "
                 + (runtime.totalMemory() - runtime.freeMemory()) / MEGABYTE + " of " + runtime.maxMemory() / MEGABYTE
                 + " MB";
-        maxLateMicros = 0;
+        maxLatenessMicros = 0;
         return line;
     }
 }
--- a/src/main/java/org/weldcourse/app/Readiness.java
+++ b/src/main/java/org/weldcourse/app/Readiness.java
@@ -10,9 +10,9 @@
 import org.weldcourse.settings.Settings;
 import org.weldcourse.store.Store;
 
-/** Whether this node should be sent users. Holds no state: it asks the store's client, the peers and the election. */
+/** Decides whether the load balancer should send users to this node. It keeps no state of its own. */
 final class Readiness {
-    private static final long UNREADY_AFTER_MICROS = 1_000_000;
+    private static final long STORE_OUTAGE_TOLERANCE_MICROS = 1_000_000;
 
     private final Settings settings;
     private final Clock clock;
@@ -36,49 +36,54 @@
         this.election = election;
     }
 
-    /** Whether the store answers this node, as of a moment ago: {@link StoreProbeTask} asks where nobody else does. */
-    boolean reachesStore() {
+    /**
+     * Whether the store answers this node's requests; {@link StoreProbeTask} keeps this recent while no others are
+     * sent.
+     */
+    boolean isStoreReachable() {
         return store.failingSinceMicros() < 0;
     }
 
     /**
-     * Whether, by the peers' own heartbeats, the store serves none of them either. Where no configured peer is heard, a
-     * node can't tell an outage from being cut off, and has to assume the latter.
+     * Whether the peers report in their heartbeats that the store does not serve them either. A node that hears from
+     * none of its configured peers can't tell an outage from its own isolation, and assumes isolation.
      */
     boolean isStoreOutageShared() {
         return settings.peers().isEmpty() || peers.storeAccess() == Peers.StoreAccess.UNAVAILABLE;
     }
 
-    /** Whether this node serves users as a follower, which is what a leader would leave them to. */
-    boolean servesUsersAsFollower() {
-        return !election.isLeader() && whyUnableToServe().isEmpty();
+    /** Whether this node is not the leader and can serve users; a leader leaves its users to such nodes. */
+    boolean servesUsersAsStandby() {
+        return !election.isLeader() && unreadyReason().isEmpty();
     }
 
     /**
-     * Answers the load balancer: 200 where users are to be sent here, else 503 with the reason. A leader's users would
-     * wait behind its workers and cycles, so it leaves them to the others as long as those serve.
+     * Answers the load balancer's health check: 200 if users should be sent to this node, else 503 with the reason. On
+     * the leader, user requests would wait for heartbeats and admission cycles, so it is not ready while a peer serves
+     * users.
      */
     void handle(Reply reply) {
-        Optional<String> why = whyUnableToServe();
-        if (why.isEmpty() && election.isLeader() && peers.anyPeerServesUsers()) {
-            why = Optional.of("leads, and the others serve users");
+        Optional<String> reason = unreadyReason();
+        if (reason.isEmpty() && election.isLeader() && peers.anyPeerServesUsers()) {
+            reason = Optional.of("leads, and the others serve users");
         }
-        if (why.isEmpty()) {
+        if (reason.isEmpty()) {
             reply.send(200, Json.of("ready", true));
         } else {
-            reply.refuse(503, why.get(), machineTypes.known().isEmpty() ? 1 : 2);
+            reply.refuse(503, reason.get(), machineTypes.known().isEmpty() ? 1 : 2);
         }
     }
 
-    private Optional<String> whyUnableToServe() {
+    private Optional<String> unreadyReason() {
         if (machineTypes.known().isEmpty()) {
             return Optional.of("machine types are not known yet");
         }
-        if (!reachesStore()
-                && clock.nowMicros() - store.failingSinceMicros() > UNREADY_AFTER_MICROS
+        if (!isStoreReachable()
+                && clock.nowMicros() - store.failingSinceMicros() > STORE_OUTAGE_TOLERANCE_MICROS
                 && !isStoreOutageShared()) {
-            // Refused here and served elsewhere, or cut off from all: users do better there. In an outage for all,
-            // leaving helps nobody.
+            // Either the store serves other nodes, or this node is isolated: in both cases users are better served
+            // elsewhere. During an outage of the store for all nodes, the node stays ready, since no other serves
+            // better.
             return Optional.of("the state service does not serve this node");
         }
         return Optional.empty();
--- a/src/main/java/org/weldcourse/app/StatusLogTask.java
+++ b/src/main/java/org/weldcourse/app/StatusLogTask.java
@@ -7,10 +7,10 @@
 import org.weldcourse.runtime.ScheduledTask;
 import org.weldcourse.runtime.Timers;
 
-/** Logs every 30 s how loaded the process is and, when there were any, how users' requests were served here. */
+/** Logs the load of the process every 30 seconds, and statistics on users' requests if there were any. */
 final class StatusLogTask extends ScheduledTask {
     private static final Logger LOG = LoggerFactory.getLogger(StatusLogTask.class);
-    private static final long STATUS_MICROS = 30_000_000;
+    private static final long LOG_INTERVAL_MICROS = 30_000_000;
 
     private final ProcessMetrics processMetrics;
     private final JobApi jobs;
@@ -27,6 +27,6 @@
         if (!jobs.requestMetrics().isEmpty()) {
             LOG.info("{}", jobs.requestMetrics().summarizeAndReset());
         }
-        return STATUS_MICROS;
+        return LOG_INTERVAL_MICROS;
     }
 }
--- a/src/main/java/org/weldcourse/app/StoreProbeTask.java
+++ b/src/main/java/org/weldcourse/app/StoreProbeTask.java
@@ -6,9 +6,12 @@
 import org.weldcourse.runtime.Timers;
 import org.weldcourse.store.Store;
 
-/** Reads one key of the store when nothing else was answered for a second, so that what is known of it is never old. */
+/**
+ * Reads a key after a second without a response from the store, so that a store outage is noticed without other
+ * requests.
+ */
 final class StoreProbeTask extends ScheduledTask {
-    private static final long PROBE_MICROS = 1_000_000;
+    private static final long PROBE_INTERVAL_MICROS = 1_000_000;
 
     private final Store store;
     private final ProcessMetrics processMetrics;
@@ -21,11 +24,11 @@
 
     @Override
     protected long step() {
-        // It comes every second, so that its lateness stands for that of all tasks.
+        // This task runs every second, so its lateness is a sample of the lateness of all tasks.
         processMetrics.recordLateness(lateMicros());
-        if (clock.nowMicros() - store.lastCompletedMicros() >= PROBE_MICROS) {
+        if (clock.nowMicros() - store.lastCompletedMicros() >= PROBE_INTERVAL_MICROS) {
             store.get(LeaderElection.FENCING_TOKEN_KEY, read -> {});
         }
-        return PROBE_MICROS;
+        return PROBE_INTERVAL_MICROS;
     }
 }
--- a/src/main/java/org/weldcourse/app/StandInServices.java
+++ b/src/main/java/org/weldcourse/app/StubServices.java
@@ -8,11 +8,11 @@
 import org.weldcourse.runtime.EventLoopTimers;
 
 /**
- * Stands in for the state service and the cloud in a {@link WarmUp}: every read finds nothing new, and every commit
- * succeeds.
+ * Stub of the state service and the cloud for the {@link WarmUp}: there is one job and one machine type, and every
+ * commit succeeds.
  */
-final class StandInServices {
-    /** The only job that there is, as users submit it and as it is stored. */
+final class StubServices {
+    /** The only job, in the form in which users submit it and the store keeps it. */
     static final String JOB =
             """
             {"name_id": "req-000001", "course": "c", "crew": "t", "shape": "array", "rank": "normal", "beads": 2,
@@ -25,26 +25,26 @@
             {"rigs": [{"name": "m", "cpus": 4, "gpus": 0, "mem_gb": 8, "local_gb": 10, "pull_gb_per_s": 1.0,
                        "price": 1.0, "spot_price": 0.5, "ready_s": 1, "yards": ["a"]}]}""";
 
-    private StandInServices() {}
+    private StubServices() {}
 
-    /** Serves on this address until the loop ends. */
+    /** Listens at {@code address} until the event loop is shut down. */
     static void listen(EventLoop loop, String address) throws InterruptedException {
         Server.Limits limits = new Server.Limits(20, 20, 60_000_000, 60_000_000);
-        new Server(loop, StandInServices::answer, new EventLoopTimers(loop), limits, () -> {}).listen(address);
+        new Server(loop, StubServices::handle, new EventLoopTimers(loop), limits, () -> {}).listen(address);
     }
 
-    private static void answer(Server.Request request, Server.Reply reply) {
+    private static void handle(Server.Request request, Server.Reply reply) {
         String path = request.path();
         if (path.startsWith("/watch") && !path.startsWith("/watch?starts=open/")) {
             reply.refuse(503, "not now", 1);
         } else if (path.startsWith("/store/") && !path.endsWith("/req-000001") && !path.endsWith("/req-000009")) {
             reply.send(404, json("{\"ledger\": 1}"));
         } else {
-            reply.send(200, json(answerTo(path)));
+            reply.send(200, json(responseBody(path)));
         }
     }
 
-    private static String answerTo(String path) {
+    private static String responseBody(String path) {
         if (path.startsWith("/watch?starts=open/")) {
             return """
                     {"ledger": 2, "events": [{"write": "open/req-000001", "value": %s, "mark": 2}]}"""
@@ -78,7 +78,7 @@
                 {"ledger": 2}""";
     }
 
-    /** The object that a JSON text describes. */
+    /** Parses a JSON object. */
     static Map<String, Object> json(String text) {
         return Json.objectOrEmpty(text.getBytes(StandardCharsets.UTF_8));
     }
--- a/src/main/java/org/weldcourse/app/WarmUp.java
+++ b/src/main/java/org/weldcourse/app/WarmUp.java
@@ -22,8 +22,8 @@
 import org.weldcourse.settings.SettingsFile;
 
 /**
- * The training run for the class archive (class data sharing): the build runs a controller for a moment on the loopback,
- * beside a stand-in for the services that it needs, and archives the classes that this loads. Nothing else uses it.
+ * The training run for the class data sharing (CDS) archive. The build runs a controller for a few seconds on the
+ * loopback interface, with stubs of the services that it needs, and archives the loaded classes.
  */
 final class WarmUp {
     private static final String HOST = "127.0.0.1";
@@ -33,7 +33,7 @@
             """
             {"forge": "m-000001", "addr": "127.0.0.1:1", "rig": "m", "yard": "a", "loaners": true, "shift": 1,
              "stitch": 1, "torch": 1, "recall_s": null, "beads": []}""";
-    /** Host, API port, port for the peers, port of the services. */
+    /** Format arguments: host, API port, peer port, port of the stub services. */
     private static final String SETTINGS =
             """
             host_name = "warm"
@@ -80,35 +80,36 @@
 
     private WarmUp() {}
 
-    /** Where the ports of a try come from: between a look and its use another process may take one. */
-    interface Ports {
-        int free() throws IOException;
+    /** Finds the ports for an attempt. Another process may take a port before the attempt binds it. */
+    interface PortFinder {
+        int findFreePort() throws IOException;
     }
 
     static void run() throws Exception {
         run(WarmUp::freePort);
     }
 
-    static void run(Ports ports) throws Exception {
-        for (int attempts = 1; !tryOnce(ports); attempts++) {
-            if (attempts == MAX_ATTEMPTS) {
-                throw new BindException("no free port in " + MAX_ATTEMPTS + " tries");
+    static void run(PortFinder ports) throws Exception {
+        for (int attempt = 1; !attempt(ports); attempt++) {
+            if (attempt == MAX_ATTEMPTS) {
+                throw new BindException("no free port after " + MAX_ATTEMPTS + " attempts");
             }
         }
     }
 
-    private static boolean tryOnce(Ports ports) throws Exception {
-        int api = ports.free();
-        int services = ports.free();
+    /** Returns false if another process took one of the ports. */
+    private static boolean attempt(PortFinder ports) throws Exception {
+        int apiPort = ports.findFreePort();
+        int servicesPort = ports.findFreePort();
         EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
-        Node node = new Node(settings(api, ports.free(), services), OperatorSettings.DEFAULT);
+        Node node = new Node(settings(apiPort, ports.findFreePort(), servicesPort), OperatorSettings.DEFAULT);
         try {
-            StandInServices.listen(loop, HOST + ":" + services);
+            StubServices.listen(loop, HOST + ":" + servicesPort);
             node.start();
-            exercise(loop, api, settings(api, ports.free(), services));
+            sendRequests(loop, apiPort, settings(apiPort, ports.findFreePort(), servicesPort));
             return true;
         } catch (Exception failure) {
-            // The network library throws what it was told, declared or not.
+            // Netty rethrows checked exceptions undeclared, so BindException has no catch clause of its own.
             if (failure instanceof BindException) {
                 return false;
             }
@@ -119,23 +120,23 @@
         }
     }
 
-    private static void exercise(EventLoop loop, int api, Settings settings) throws InterruptedException {
-        String address = HOST + ":" + api;
+    private static void sendRequests(EventLoop loop, int apiPort, Settings settings) throws InterruptedException {
+        String address = HOST + ":" + apiPort;
         List<Call> calls = List.of(
                 new Call(address, "GET", "/ready", null, 1_000_000),
-                new Call(address, "POST", "/v1/jobs", StandInServices.json(StandInServices.JOB), 1_000_000),
+                new Call(address, "POST", "/v1/jobs", StubServices.json(StubServices.JOB), 1_000_000),
                 new Call(address, "GET", "/v1/jobs/req-000001", null, 1_000_000),
                 new Call(address, "POST", "/v1/jobs/req-000001/withdraw", Map.of(), 1_000_000),
                 new Call(address, "GET", "/v1/jobs/req-000009", null, 1_000_000),
-                new Call(address, "POST", "/checkin", StandInServices.json(HEARTBEAT), 1_000_000));
-        NettyHttpClient caller = new NettyHttpClient(loop, () -> 8);
-        CountDownLatch answered = new CountDownLatch(calls.size());
-        Runnable callAll = () -> calls.forEach(call -> caller.call(call, answer -> answered.countDown()));
-        loop.schedule(callAll, 800, TimeUnit.MILLISECONDS);
-        EventLoopTimers time = new EventLoopTimers(loop);
-        StandbyWarmUp standbyWarmUp = new StandbyWarmUp(settings, time, time, () -> true);
+                new Call(address, "POST", "/checkin", StubServices.json(HEARTBEAT), 1_000_000));
+        NettyHttpClient httpClient = new NettyHttpClient(loop, () -> 8);
+        CountDownLatch pendingResponses = new CountDownLatch(calls.size());
+        Runnable sendAll = () -> calls.forEach(call -> httpClient.call(call, response -> pendingResponses.countDown()));
+        loop.schedule(sendAll, 800, TimeUnit.MILLISECONDS);
+        EventLoopTimers timers = new EventLoopTimers(loop);
+        StandbyWarmUp standbyWarmUp = new StandbyWarmUp(settings, timers, timers, () -> true);
         loop.execute(standbyWarmUp::start);
-        answered.await(MAX_WAIT_SECONDS, TimeUnit.SECONDS);
+        pendingResponses.await(MAX_WAIT_SECONDS, TimeUnit.SECONDS);
         Thread.sleep(1_500);
         loop.execute(standbyWarmUp::cancel);
     }
@@ -146,11 +147,11 @@
         }
     }
 
-    private static Settings settings(int api, int back, int services) throws InvalidSettingsException {
-        return SettingsFile.parse(new StringReader(settingsText(api, back, services)));
+    private static Settings settings(int apiPort, int peerPort, int servicesPort) throws InvalidSettingsException {
+        return SettingsFile.parse(new StringReader(settingsText(apiPort, peerPort, servicesPort)));
     }
 
-    static String settingsText(int api, int back, int services) {
-        return SETTINGS.formatted(HOST, api, back, services);
+    static String settingsText(int apiPort, int peerPort, int servicesPort) {
+        return SETTINGS.formatted(HOST, apiPort, peerPort, servicesPort);
     }
 }
--- a/src/main/java/org/weldcourse/app/package-info.java
+++ b/src/main/java/org/weldcourse/app/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Command line, wiring of a controller and of its node, HTTP routes, readiness and {@code /metrics}, and the training run
- * that the build archives classes with.
+ * Command line, assembly of a controller and its node, HTTP routing, readiness and {@code /metrics}, and the training
+ * run for the class archive.
  */
 package org.weldcourse.app;
--- a/src/main/java/org/weldcourse/http/ConnectionLimiter.java
+++ b/src/main/java/org/weldcourse/http/ConnectionLimiter.java
@@ -5,10 +5,10 @@
 import java.util.function.Consumer;
 
 /**
- * Bounds the connections that others opened, with those of workers counted apart from the rest. Machines that died or
- * were cut off leave theirs behind without closing them, so when there is no room for one more, the connection that
- * has been silent longest is evicted if it has been silent long enough that nobody can still be behind it; otherwise
- * the newcomer is refused. Workers can't take the share that is kept for users and health checks.
+ * Limits the number of inbound connections, with a separate, lower limit for workers, so that some connections remain
+ * for users and health checks. At a limit, the connection that has been silent longest is evicted if it exceeds the
+ * maximum silence; otherwise the new connection is refused. Eviction is needed because machines that fail or become
+ * unreachable do not close their connections.
  *
  * <p>Not thread-safe: used on the server's event loop only.
  */
@@ -17,15 +17,17 @@
     private final int maxWorkerConnections;
     private final long evictAfterSilentMicros;
     private final Consumer<T> closer;
-    /** When each was last heard from, in microseconds; the longest silent first. */
+    /** The time of the last request by connection, in microseconds; the longest silent connection comes first. */
     private final Map<T, Long> workerConnections = new LinkedHashMap<>();
 
     private final Map<T, Long> otherConnections = new LinkedHashMap<>();
 
     /**
-     * @param maxConnections connections in all
-     * @param maxWorkerConnections of those, connections that workers may hold
-     * @param evictAfterSilentMicros silence after which a connection may be evicted for a newcomer
+     * Creates a limiter without connections.
+     *
+     * @param maxConnections the maximum number of connections
+     * @param maxWorkerConnections how many of these may belong to workers
+     * @param evictAfterSilentMicros the time without requests after which a connection may be evicted
      * @param closer closes an evicted connection
      */
     ConnectionLimiter(int maxConnections, int maxWorkerConnections, long evictAfterSilentMicros, Consumer<T> closer) {
@@ -35,7 +37,7 @@
         this.closer = closer;
     }
 
-    /** Counts a new connection; false when there is no room for it, and it should be closed. */
+    /** Registers a new connection; returns false if the limit is reached and the connection has to be closed. */
     boolean admit(T connection, long nowMicros) {
         if (size() >= maxConnections
                 && !evictLongestSilent(otherConnections, nowMicros)
@@ -46,15 +48,15 @@
         return true;
     }
 
-    /** A request came on the connection; false when it would be one worker connection too many. */
-    boolean onRequest(T connection, boolean fromWorker, long nowMicros) {
-        boolean known = workerConnections.remove(connection) != null;
+    /** Records a request on the connection; returns false if it comes from a worker beyond the limit for workers. */
+    boolean recordRequest(T connection, boolean fromWorker, long nowMicros) {
+        boolean isWorkerConnection = workerConnections.remove(connection) != null;
         otherConnections.remove(connection);
         if (!fromWorker) {
             otherConnections.put(connection, nowMicros);
             return true;
         }
-        if (!known
+        if (!isWorkerConnection
                 && workerConnections.size() >= maxWorkerConnections
                 && !evictLongestSilent(workerConnections, nowMicros)) {
             otherConnections.put(connection, nowMicros);
@@ -64,13 +66,13 @@
         return true;
     }
 
-    /** Forgets a connection that was closed. */
+    /** Removes a closed connection. */
     void remove(T connection) {
         workerConnections.remove(connection);
         otherConnections.remove(connection);
     }
 
-    /** How many connections are counted. */
+    /** The number of registered connections. */
     int size() {
         return workerConnections.size() + otherConnections.size();
     }
--- a/src/main/java/org/weldcourse/http/HostPort.java
+++ b/src/main/java/org/weldcourse/http/HostPort.java
@@ -1,11 +1,11 @@
 package org.weldcourse.http;
 
-/** An address as the settings and the workers write it: {@code 10.0.0.1:8080}. */
+/** A network address, written as {@code 10.0.0.1:8080} in the settings and by workers. */
 public record HostPort(String host, int port) {
     /**
      * Parses {@code host:port}; the port is what follows the last colon.
      *
-     * @throws IllegalArgumentException if there is no colon, or the port is not a number ({@link NumberFormatException})
+     * @throws IllegalArgumentException if there is no colon or the port is not a number
      */
     public static HostPort of(String address) {
         int colon = address.lastIndexOf(':');
--- a/src/main/java/org/weldcourse/http/HttpClient.java
+++ b/src/main/java/org/weldcourse/http/HttpClient.java
@@ -2,15 +2,21 @@
 
 import java.util.Map;
 
-/** Sends a request to another host and hands back what came of it, always later and on the event loop. */
+/** An asynchronous HTTP client, which invokes its callbacks on the event loop. */
 public interface HttpClient {
-    /** Sends a call and tells how it ended, at the latest when its timeout has passed. */
-    void call(Call call, Callback done);
+    /**
+     * Sends a request and reports its outcome to the callback, always asynchronously, and at the latest when the
+     * timeout of the call expires.
+     */
+    void call(Call call, Callback callback);
 
     /**
-     * A request to {@code address} ({@code host:port}); {@code body} is null where there is none. One with a
-     * {@code dedicatedConnection} is kept off the shared connections, so that it never waits for another connection to
-     * be opened while the shared ones are busy.
+     * A request.
+     *
+     * @param address the server, as {@code host:port}
+     * @param body the JSON object to send, or null to send no body
+     * @param dedicatedConnection whether to use a connection apart from the shared ones, so that the request need not
+     *     wait for a new connection to open while the shared ones are busy
      */
     record Call(
             String address,
@@ -19,26 +25,28 @@
             Map<String, Object> body,
             long timeoutMicros,
             boolean dedicatedConnection) {
-        /** A call on any connection to the address. */
+        /** A request on a shared connection. */
         public Call(String address, String method, String path, Map<String, Object> body, long timeoutMicros) {
             this(address, method, path, body, timeoutMicros, false);
         }
     }
 
-    /** Told how a call ended. */
+    /** Receives the outcome of a call. */
     interface Callback {
-        /** Called exactly once for each call. */
-        void accept(Response answer);
+        /** Receives the response; called exactly once for each call. */
+        void accept(Response response);
     }
 
     /**
-     * The HTTP status and the JSON object of the body (empty when the body is none). {@code status} is 0 when no answer
-     * came in time, so that the request may have been carried out, and -1 when it was never sent.
+     * The outcome of a call.
+     *
+     * @param status the HTTP status; 0 for {@link #NO_RESPONSE}, -1 for {@link #NOT_SENT}
+     * @param body the JSON object of the body, empty if the body is not a JSON object
      */
     record Response(int status, Map<String, Object> body) {
-        /** No answer came in time: the request may have been carried out, or may be later. */
+        /** No response arrived in time; the server may have executed the request, or may still execute it. */
         public static final Response NO_RESPONSE = new Response(0, Map.of());
-        /** The request was never sent, for instance because the connection could not be opened. */
+        /** The request was not sent, for example because the connection could not be opened. */
         public static final Response NOT_SENT = new Response(-1, Map.of());
 
         /** Whether the status is 200. */
--- a/src/main/java/org/weldcourse/http/IdleConnectionPool.java
+++ b/src/main/java/org/weldcourse/http/IdleConnectionPool.java
@@ -8,8 +8,8 @@
 import java.util.function.IntSupplier;
 
 /**
- * Idle connections by address, no more of them than there is room for: sockets are scarce, and there are many workers
- * that are sent a command only now and then. The connection that has been idle longest is closed to make room.
+ * A bounded pool of idle connections by address. Above the maximum, the connection that has been idle longest is
+ * closed: sockets are limited, and most workers are sent a command only occasionally.
  *
  * <p>Not thread-safe: used on one event loop only.
  */
@@ -17,44 +17,44 @@
     private final IntSupplier maxIdle;
     private final Consumer<T> closer;
     private final Map<String, ArrayDeque<T>> byAddress = new HashMap<>();
-    private final Map<T, String> oldestFirst = new LinkedHashMap<>();
+    private final Map<T, String> longestIdleFirst = new LinkedHashMap<>();
 
-    /** {@code maxIdle} is asked anew each time, since the room left for idle connections changes. */
+    /** Creates an empty pool; {@code maxIdle} supplies the current maximum, which changes over time. */
     IdleConnectionPool(IntSupplier maxIdle, Consumer<T> closer) {
         this.maxIdle = maxIdle;
         this.closer = closer;
     }
 
-    /** Keeps a connection that has become idle for the next request to the address. */
-    void keep(String address, T connection) {
-        byAddress.computeIfAbsent(address, unknown -> new ArrayDeque<>()).addLast(connection);
-        oldestFirst.put(connection, address);
+    /** Returns a connection to the pool, for the next request to the address. */
+    void release(String address, T connection) {
+        byAddress.computeIfAbsent(address, unused -> new ArrayDeque<>()).addLast(connection);
+        longestIdleFirst.put(connection, address);
         trim();
     }
 
-    /** Closes the connections there is no room for any more, the longest idle first. */
+    /** Closes connections above the current maximum, the longest idle first. */
     void trim() {
-        while (oldestFirst.size() > maxIdle.getAsInt()) {
-            T oldest = oldestFirst.keySet().iterator().next();
-            forget(oldest);
+        while (longestIdleFirst.size() > maxIdle.getAsInt()) {
+            T oldest = longestIdleFirst.keySet().iterator().next();
+            remove(oldest);
             closer.accept(oldest);
         }
     }
 
-    /** Takes out the idle connection to the address that was used last, or null when there is none. */
-    T take(String address) {
+    /** Removes and returns the most recently used idle connection to the address, or null if there is none. */
+    T acquire(String address) {
         ArrayDeque<T> connections = byAddress.get(address);
         if (connections == null) {
             return null;
         }
         T connection = connections.peekLast();
-        forget(connection);
+        remove(connection);
         return connection;
     }
 
-    /** Drops a connection that was closed, if it is kept here. */
-    void forget(T connection) {
-        String address = oldestFirst.remove(connection);
+    /** Removes a closed connection if it is in the pool. */
+    void remove(T connection) {
+        String address = longestIdleFirst.remove(connection);
         if (address == null) {
             return;
         }
--- a/src/main/java/org/weldcourse/http/Json.java
+++ b/src/main/java/org/weldcourse/http/Json.java
@@ -13,7 +13,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** JSON by Jackson's streaming core, to and from plain maps, lists, strings, booleans and numbers. */
+/** Parses and writes JSON as maps, lists, strings, booleans and numbers, with Jackson's streaming API. */
 public final class Json {
     private static final JsonFactory FACTORY = JsonFactory.builder()
             .streamReadConstraints(
@@ -23,8 +23,8 @@
     private Json() {}
 
     /**
-     * Thrown for bytes that are not one JSON value; the message ("empty", "more than one value", "not JSON", or the
-     * unexpected token) is what a client is told in a 400.
+     * Thrown for bytes that are not exactly one JSON value. Clients receive the message in a response with status 400:
+     * "empty", "more than one value", "not JSON", or the unexpected token.
      */
     public static final class MalformedJsonException extends Exception {
         MalformedJsonException(String message) {
@@ -37,8 +37,8 @@
     }
 
     /**
-     * Parses one JSON value with nothing behind it, nested 32 deep at most. Integers come as {@code Long} (or
-     * {@code BigInteger} beyond), other numbers as {@code Double}, objects as maps in their order.
+     * Parses one JSON value, nested at most 32 levels deep. Integers become {@code Long}, or {@code BigInteger} beyond
+     * its range; other numbers become {@code Double}; objects become maps that keep the order of their fields.
      *
      * @throws MalformedJsonException if the bytes are not exactly one JSON value
      */
@@ -57,12 +57,12 @@
         }
     }
 
-    /** A streaming parser, for bodies that are read too often to be turned into maps first; the caller closes it. */
+    /** Creates a streaming parser, for frequent bodies that should not be converted to maps; the caller closes it. */
     public static JsonParser reader(byte[] bytes) throws IOException {
         return FACTORY.createParser(bytes);
     }
 
-    /** The object that the bytes hold, or an empty one when they hold anything else. */
+    /** Parses a JSON object; the result is empty if the bytes are anything else. */
     public static Map<String, Object> objectOrEmpty(byte[] bytes) {
         try {
             return object(parse(bytes));
@@ -156,11 +156,11 @@
             }
             out.writeEndArray();
         } else {
-            throw new IllegalArgumentException("no JSON form for " + value.getClass());
+            throw new IllegalArgumentException("cannot encode as JSON: " + value.getClass());
         }
     }
 
-    /** An object from names and values in turn. */
+    /** Creates an object from alternating names and values. */
     public static Map<String, Object> of(Object... namesAndValues) {
         Map<String, Object> map = new LinkedHashMap<>();
         for (int i = 0; i < namesAndValues.length; i += 2) {
@@ -169,35 +169,35 @@
         return map;
     }
 
-    /** The value as an object, or an empty one when it is none. */
+    /** The value as an object, or an empty object if it has another type. */
     @SuppressWarnings("unchecked")
     public static Map<String, Object> object(Object value) {
         return value instanceof Map<?, ?> map ? (Map<String, Object>) map : Map.of();
     }
 
-    /** The value as a list, or an empty one when it is none. */
+    /** The value as a list, or an empty list if it has another type. */
     @SuppressWarnings("unchecked")
     public static List<Object> list(Object value) {
         return value instanceof List<?> list ? (List<Object>) list : List.of();
     }
 
-    /** The string of this name, or null. */
-    public static String text(Map<String, Object> from, String name) {
-        return from.get(name) instanceof String text ? text : null;
+    /** The string in the field, or null if there is none. */
+    public static String text(Map<String, Object> object, String name) {
+        return object.get(name) instanceof String text ? text : null;
     }
 
-    /** The integer of this name, or another value when there is none. */
-    public static long integer(Map<String, Object> from, String name, long otherwise) {
-        return from.get(name) instanceof Long number ? number : otherwise;
+    /** The integer in the field, or the default if there is none. */
+    public static long integer(Map<String, Object> object, String name, long defaultValue) {
+        return object.get(name) instanceof Long number ? number : defaultValue;
     }
 
-    /** The number of this name, or another value when there is none. */
-    public static double decimal(Map<String, Object> from, String name, double otherwise) {
-        return from.get(name) instanceof Number number ? number.doubleValue() : otherwise;
+    /** The number in the field, or the default if there is none. */
+    public static double decimal(Map<String, Object> object, String name, double defaultValue) {
+        return object.get(name) instanceof Number number ? number.doubleValue() : defaultValue;
     }
 
-    /** Whether the value of this name is true. */
-    public static boolean flag(Map<String, Object> from, String name) {
-        return Boolean.TRUE.equals(from.get(name));
+    /** Whether the field is true; false if there is no such field. */
+    public static boolean flag(Map<String, Object> object, String name) {
+        return Boolean.TRUE.equals(object.get(name));
     }
 }
--- a/src/main/java/org/weldcourse/http/NettyHttpClient.java
+++ b/src/main/java/org/weldcourse/http/NettyHttpClient.java
@@ -24,41 +24,43 @@
 import java.util.function.IntSupplier;
 
 /**
- * The caller on Netty: keeps idle connections by address and sends one request at a time on each. Not thread-safe: it
- * is called on its event loop only.
+ * An HTTP client on Netty that reuses idle connections and sends one request at a time on each. Not thread-safe: used
+ * on its event loop only.
  */
 public final class NettyHttpClient implements HttpClient {
     private static final int MAX_RESPONSE_BYTES = 16 * 1024 * 1024;
     private static final int CONNECT_TIMEOUT_MILLIS = 1_500;
-    /** Appended to the address to keep dedicated connections apart from the shared ones in the pool. */
+    /** Appended to the address in the pool key of a dedicated connection, to separate it from the shared ones. */
     private static final String DEDICATED_SUFFIX = " dedicated";
 
-    private static final long LATE_LOOP_GRACE_MICROS = 1_000;
+    private static final long TIMEOUT_GRACE_MICROS = 1_000;
 
     private final EventLoop loop;
     private final IdleConnectionPool<Connection> idle;
 
-    /** A caller that keeps at most {@code maxIdle} connections open for its next calls; asked anew each time. */
+    /** Creates a client; {@code maxIdle} supplies the current maximum of idle connections. */
     public NettyHttpClient(EventLoop loop, IntSupplier maxIdle) {
         this.loop = loop;
         this.idle = new IdleConnectionPool<>(maxIdle, connection -> connection.context.close());
     }
 
-    /** Closes idle connections beyond the current maximum, which may have become smaller. */
+    /** Closes idle connections above the current maximum, which may have decreased. */
     public void trim() {
         idle.trim();
     }
 
     @Override
-    public void call(Call call, Callback done) {
+    public void call(Call call, Callback callback) {
         String poolKey = call.dedicatedConnection() ? call.address() + DEDICATED_SUFFIX : call.address();
         Connection idleConnection = takeIdle(poolKey);
-        Exchange exchange = new Exchange(call, done);
-        // A loop that is late runs its expired timers before it reads what came in meanwhile, though an answer may long
-        // be there; so the sockets are read once more before giving up. A busy leader lost its lease over renewals that
-        // had been answered in time.
+        Exchange exchange = new Exchange(call, callback);
+        // A delayed event loop runs expired timers before it reads its sockets, where the response may already wait.
+        // The
+        // grace period lets it read them once more before the call times out. Without it, a busy leader lost its lease
+        // although the renewals had been answered in time.
         exchange.timeout = loop.schedule(
-                () -> exchange.timeout = loop.schedule(exchange::giveUp, LATE_LOOP_GRACE_MICROS, TimeUnit.MICROSECONDS),
+                () -> exchange.timeout =
+                        loop.schedule(exchange::handleTimeout, TIMEOUT_GRACE_MICROS, TimeUnit.MICROSECONDS),
                 call.timeoutMicros(),
                 TimeUnit.MICROSECONDS);
         if (idleConnection != null) {
@@ -68,10 +70,10 @@
         }
     }
 
-    /** Opens a new connection for the exchange; a failure to connect means the request was never sent. */
+    /** Opens a connection and sends the request; if the connection fails, the outcome is {@link Response#NOT_SENT}. */
     private void connectAndSend(String poolKey, Exchange exchange) {
-        Connection fresh = new Connection(poolKey);
-        HostPort to = HostPort.of(exchange.call.address());
+        Connection connection = new Connection(poolKey);
+        HostPort server = HostPort.of(exchange.call.address());
         ChannelFuture connecting = new Bootstrap()
                 .group(loop)
                 .channel(NioSocketChannel.class)
@@ -83,10 +85,10 @@
                         channel.pipeline()
                                 .addLast(new HttpClientCodec())
                                 .addLast(new HttpObjectAggregator(MAX_RESPONSE_BYTES))
-                                .addLast(fresh);
+                                .addLast(connection);
                     }
                 })
-                .connect(to.host(), to.port());
+                .connect(server.host(), server.port());
         exchange.channel = connecting.channel();
         connecting.addListener(future -> {
             if (!future.isSuccess()) {
@@ -94,34 +96,34 @@
             } else if (exchange.finished) {
                 connecting.channel().close();
             } else {
-                fresh.send(exchange);
+                connection.send(exchange);
             }
         });
     }
 
     private Connection takeIdle(String poolKey) {
-        Connection connection = idle.take(poolKey);
+        Connection connection = idle.acquire(poolKey);
         while (connection != null && !connection.context.channel().isActive()) {
-            connection = idle.take(poolKey);
+            connection = idle.acquire(poolKey);
         }
         return connection;
     }
 
-    /** One request and its answer; finishes exactly once. */
+    /** A request and its response; finishes exactly once. */
     private static final class Exchange {
         final Call call;
-        final Callback done;
+        final Callback callback;
         Future<?> timeout;
         Channel channel;
         boolean sent;
         boolean finished;
 
-        Exchange(Call call, Callback done) {
+        Exchange(Call call, Callback callback) {
             this.call = call;
-            this.done = done;
+            this.callback = callback;
         }
 
-        void giveUp() {
+        void handleTimeout() {
             if (!finished) {
                 finish(sent ? Response.NO_RESPONSE : Response.NOT_SENT);
                 if (channel != null) {
@@ -130,19 +132,18 @@
             }
         }
 
-        void finish(Response answer) {
+        void finish(Response response) {
             if (finished) {
                 return;
             }
             finished = true;
             timeout.cancel(false);
-            done.accept(answer);
+            callback.accept(response);
         }
     }
 
-    /** A connection to one address, with at most one request outstanding. */
+    /** A connection to one address, with at most one request in flight. */
     private final class Connection extends SimpleChannelInboundHandler<FullHttpResponse> {
-        /** Under what it is kept while it idles. */
         private final String poolKey;
 
         private ChannelHandlerContext context;
@@ -177,28 +178,28 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
-            Exchange answered = current;
+            Exchange exchange = current;
             current = null;
-            if (answered == null) {
+            if (exchange == null) {
                 ctx.close();
                 return;
             }
             byte[] body = ByteBufUtil.getBytes(response.content());
             if (HttpUtil.isKeepAlive(response)) {
-                idle.keep(poolKey, this);
+                idle.release(poolKey, this);
             } else {
                 ctx.close();
             }
-            answered.finish(new Response(response.status().code(), Json.objectOrEmpty(body)));
+            exchange.finish(new Response(response.status().code(), Json.objectOrEmpty(body)));
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            idle.forget(this);
+            idle.remove(this);
             if (current != null) {
-                Exchange lost = current;
+                Exchange interrupted = current;
                 current = null;
-                lost.finish(Response.NO_RESPONSE);
+                interrupted.finish(Response.NO_RESPONSE);
             }
         }
 
--- a/src/main/java/org/weldcourse/http/Server.java
+++ b/src/main/java/org/weldcourse/http/Server.java
@@ -31,8 +31,8 @@
 import org.weldcourse.runtime.Clock;
 
 /**
- * The HTTP server that users, workers and health checks reach. Requests are answered on its event loop; the server
- * bounds its connections (see {@link Limits}) and the size of request bodies (64 KiB, else 400).
+ * The HTTP server for users, workers and health checks. It handles requests on its event loop, limits connections (see
+ * {@link Limits}), and answers request bodies above 64 KiB with status 400.
  */
 public final class Server {
     private static final Logger LOG = LoggerFactory.getLogger(Server.class);
@@ -42,80 +42,84 @@
     private final Handler handler;
     private final Clock clock;
     private final Limits limits;
-    private final Runnable opened;
+    private final Runnable onConnectionOpened;
     private final ConnectionLimiter<Channel> connectionLimiter;
 
-    /** {@code opened} runs after each new connection. */
-    public Server(EventLoop loop, Handler handler, Clock clock, Limits limits, Runnable opened) {
+    /** Creates a server; {@code onConnectionOpened} runs after each accepted connection. */
+    public Server(EventLoop loop, Handler handler, Clock clock, Limits limits, Runnable onConnectionOpened) {
         this.loop = loop;
         this.handler = handler;
         this.clock = clock;
         this.limits = limits;
-        this.opened = opened;
+        this.onConnectionOpened = onConnectionOpened;
         this.connectionLimiter = new ConnectionLimiter<>(
                 limits.maxConnections, limits.maxWorkerConnections, limits.evictAfterSilentMicros, Channel::close);
     }
 
     /**
-     * How many connections there may be, and how many of them workers may hold. One that has been silent for
-     * {@code evictAfterSilentMicros} may be closed to make room for a new one; one that has been silent for
-     * {@code closeAfterIdleMicros} is closed in any case.
+     * Limits on inbound connections.
+     *
+     * @param maxConnections the maximum number of connections
+     * @param maxWorkerConnections how many of these may belong to workers
+     * @param evictAfterSilentMicros the time without requests after which a connection may be closed in favor of a new
+     *     one
+     * @param closeAfterIdleMicros the time without received data after which a connection is always closed
      */
     public record Limits(
             int maxConnections, int maxWorkerConnections, long evictAfterSilentMicros, long closeAfterIdleMicros) {}
 
-    /** What answers the requests of a server. */
+    /** Handles the requests to a server. */
     public interface Handler {
-        /** Answers a request, now or later. */
+        /** Handles a request; the reply may be sent after the return. */
         void handle(Request request, Reply reply);
 
-        /** Whether only workers send this request, so that it counts against the workers' share of connections. */
+        /** Whether the request comes from a worker, so that its connection counts against the limit for workers. */
         default boolean isFromWorker(Request request) {
             return false;
         }
     }
 
-    /** A request with its whole body. */
+    /** A request with its complete body. */
     public record Request(String method, String path, byte[] body) {}
 
-    /** Takes the one answer to a request. */
+    /** Sends the response to a request; used once per request. */
     public interface Reply {
-        /** Sends the answer; {@code retryAfterSeconds} of 0 names no time to come back. */
+        /** Sends a JSON response, with a {@code Retry-After} header if {@code retryAfterSeconds} is above 0. */
         void send(int status, Map<String, Object> body, int retryAfterSeconds);
 
-        /** Sends an answer that names no time to come back. */
+        /** Sends a JSON response without a {@code Retry-After} header. */
         default void send(int status, Map<String, Object> body) {
             send(status, body, 0);
         }
 
-        /** Sends plain text; where nothing but JSON can be sent, as its one field. */
+        /** Sends plain text. An implementation that only supports JSON sends it as the field {@code text}. */
         default void sendText(int status, String text) {
             send(status, Json.of("text", text));
         }
 
-        /** A refusal that tells the client when to come back. */
-        default void refuse(int status, String why, int retryAfterSeconds) {
-            send(status, Json.of("error", why), retryAfterSeconds);
+        /** Sends an error with the time after which the client should retry. */
+        default void refuse(int status, String reason, int retryAfterSeconds) {
+            send(status, Json.of("error", reason), retryAfterSeconds);
         }
     }
 
-    /** How many connections are open. */
+    /** The number of open connections. */
     public int openConnections() {
         return connectionLimiter.size();
     }
 
     /**
-     * Begins to accept connections at {@code host:port}, and returns once bound.
+     * Starts to accept connections at {@code host:port}; returns when the address is bound.
      *
      * @throws InterruptedException if interrupted while binding
      */
     public void listen(String address) throws InterruptedException {
-        HostPort at = HostPort.of(address);
+        HostPort hostPort = HostPort.of(address);
         new ServerBootstrap()
                 .group(loop)
                 .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_REUSEADDR, true)
-                // A new leader's workers come all at once.
+                // All workers connect to a new leader at the same time.
                 .option(ChannelOption.SO_BACKLOG, limits.maxConnections)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<Channel>() {
@@ -126,29 +130,29 @@
                             return;
                         }
                         channel.closeFuture().addListener(closed -> connectionLimiter.remove(channel));
-                        opened.run();
-                        // Machines that died or were cut off say no goodbye.
+                        onConnectionOpened.run();
+                        // Machines that fail or become unreachable do not close their connections.
                         channel.pipeline()
                                 .addLast(
                                         new IdleStateHandler(limits.closeAfterIdleMicros, 0, 0, TimeUnit.MICROSECONDS));
                         serve(channel);
                     }
                 })
-                .bind(at.host(), at.port())
+                .bind(hostPort.host(), hostPort.port())
                 .sync();
     }
 
-    /** Reads requests from the channel and answers them on it. */
+    /** Sets up a channel so that its requests are handled by this server. */
     public void serve(Channel channel) {
         channel.pipeline()
                 .addLast(new HttpServerCodec())
-                .addLast(new BoundedBodies())
+                .addLast(new LimitedBodyAggregator())
                 .addLast(new RequestHandler());
     }
 
-    /** Gathers bodies, and answers one that is too large with 400: the protocol calls it malformed. */
-    private static final class BoundedBodies extends HttpObjectAggregator {
-        BoundedBodies() {
+    /** Aggregates request bodies. It answers one that is too large with 400, as the API defines, not with 413. */
+    private static final class LimitedBodyAggregator extends HttpObjectAggregator {
+        LimitedBodyAggregator() {
             super(MAX_BODY_BYTES);
         }
 
@@ -163,7 +167,7 @@
         }
     }
 
-    /** Hands the requests of one connection to the handler. */
+    /** Passes the requests of one connection to the handler. */
     private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest message) {
@@ -175,7 +179,7 @@
                 new HttpReply(ctx, false).send(400, Json.of("error", "malformed request"));
                 return;
             }
-            if (!connectionLimiter.onRequest(ctx.channel(), handler.isFromWorker(request), clock.nowMicros())) {
+            if (!connectionLimiter.recordRequest(ctx.channel(), handler.isFromWorker(request), clock.nowMicros())) {
                 new HttpReply(ctx, false).refuse(503, "too many workers", 1);
                 return;
             }
@@ -187,7 +191,7 @@
             }
         }
 
-        /** A client that does not read its answers is not read from either, until it catches up. */
+        /** Stops reading requests from a client that does not read its responses, until it has caught up. */
         @Override
         public void channelWritabilityChanged(ChannelHandlerContext ctx) {
             ctx.channel().config().setAutoRead(ctx.channel().isWritable());
@@ -206,9 +210,9 @@
         }
     }
 
-    /** Answers one request on its connection. */
+    /** Sends the response to one request on its connection. */
     private static final class HttpReply implements Reply {
-        private static final String TEXT = "text/plain; version=0.0.4; charset=utf-8";
+        private static final String PROMETHEUS_TEXT_TYPE = "text/plain; version=0.0.4; charset=utf-8";
 
         private final ChannelHandlerContext ctx;
         private final boolean keepAlive;
@@ -225,13 +229,13 @@
 
         @Override
         public void sendText(int status, String text) {
-            respond(status, TEXT, text.getBytes(StandardCharsets.UTF_8), 0);
+            respond(status, PROMETHEUS_TEXT_TYPE, text.getBytes(StandardCharsets.UTF_8), 0);
         }
 
-        private void respond(int status, CharSequence type, byte[] bytes, int retryAfterSeconds) {
+        private void respond(int status, CharSequence contentType, byte[] bytes, int retryAfterSeconds) {
             DefaultFullHttpResponse response = new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status), Unpooled.wrappedBuffer(bytes));
-            response.headers().set(HttpHeaderNames.CONTENT_TYPE, type);
+            response.headers().set(HttpHeaderNames.CONTENT_TYPE, contentType);
             response.headers().set(HttpHeaderNames.CONTENT_LENGTH, bytes.length);
             if (retryAfterSeconds > 0) {
                 response.headers().set(HttpHeaderNames.RETRY_AFTER, retryAfterSeconds);
--- a/src/main/java/org/weldcourse/http/package-info.java
+++ b/src/main/java/org/weldcourse/http/package-info.java
@@ -1,2 +1,2 @@
-/** HTTP server and client on the event loop, and JSON to and from plain maps and lists. */
+/** HTTP server and client on the event loop, and JSON parsing and encoding. */
 package org.weldcourse.http;
--- a/src/main/java/org/weldcourse/runtime/Clock.java
+++ b/src/main/java/org/weldcourse/runtime/Clock.java
@@ -1,10 +1,10 @@
 package org.weldcourse.runtime;
 
-/** Time as the decision code sees it, in whole microseconds. */
+/** A source of time in whole microseconds, which tests replace. */
 public interface Clock {
-    /** A steady reading: only differences between two readings mean anything. */
+    /** Monotonic time; only the difference between two readings is meaningful. */
     long nowMicros();
 
-    /** Time of day since the epoch; it may be off by the bound that the settings name. */
+    /** Wall-clock time since the Unix epoch; it may deviate by the bound that the platform's settings state. */
     long wallMicros();
 }
--- a/src/main/java/org/weldcourse/runtime/EventLoopTimers.java
+++ b/src/main/java/org/weldcourse/runtime/EventLoopTimers.java
@@ -4,11 +4,11 @@
 import io.netty.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 
-/** Clock and timers on the event loop that owns all mutable state of the process. */
+/** The system clock, and timers that run on the event loop that owns all mutable state of the process. */
 public final class EventLoopTimers implements Clock, Timers {
     private final EventLoop eventLoop;
 
-    /** A clock and timers on this event loop. */
+    /** Creates a clock and timers for the event loop. */
     public EventLoopTimers(EventLoop eventLoop) {
         this.eventLoop = eventLoop;
     }
--- a/src/main/java/org/weldcourse/runtime/ScheduledTask.java
+++ b/src/main/java/org/weldcourse/runtime/ScheduledTask.java
@@ -4,9 +4,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A long-lived background task on the event loop. It sleeps until its next step is due or until it is woken. An
- * unexpected error in a step is logged and the task goes on after a pause: one fault must not end a controller. All
- * methods are called on the loop that the {@link Timers} run on; times are microseconds of the {@link Clock}.
+ * A long-lived background task that runs in steps on the event loop. A step runs when it is due, or earlier after
+ * {@link #wakeIn}. An unexpected error in a step is logged and the task continues after a pause, so that one fault does
+ * not end the controller. All methods are called on the event loop of the {@link Timers}; times are microseconds of the
+ * {@link Clock}.
  */
 public abstract class ScheduledTask {
     private static final Logger LOG = LoggerFactory.getLogger(ScheduledTask.class);
@@ -15,7 +16,7 @@
 
     private final String name;
     private final Timers timers;
-    private Timers.Timer next;
+    private Timers.Timer nextTimer;
     private long dueMicros;
     private long lateMicros;
     private long pausedUntilMicros = Long.MIN_VALUE;
@@ -23,9 +24,9 @@
     protected final Clock clock;
 
     /**
-     * A task that runs once it is started.
+     * Creates a task; {@link #start} schedules its first step.
      *
-     * @param name names the task in the log
+     * @param name the name of the task in the log
      */
     protected ScheduledTask(String name, Clock clock, Timers timers) {
         this.name = name;
@@ -33,87 +34,91 @@
         this.timers = timers;
     }
 
-    /** Does what is due and returns the microseconds until the next step; negative: sleep until woken. */
+    /**
+     * Runs one step. Returns the delay of the next step in microseconds, or a negative value to schedule none; {@link
+     * #wakeIn} then schedules it.
+     */
     protected abstract long step();
 
     /**
-     * How long a step is followed by a pause, as a multiple of the time that it took: a task that could take the whole
-     * processor leaves a stated part of it to the leader's lease, workers and users, however slow it is. 0 for a task
-     * whose steps have to come when they are due.
+     * The length of the pause after each step, as a multiple of the step's duration. It bounds the task's share of the
+     * CPU, however slow its steps are, so that lease renewals, heartbeats and user requests are still served. A factor
+     * of 0 means no pause, for tasks whose steps must run when they are due.
      */
     protected int pauseFactor() {
         return 0;
     }
 
-    /** Starts the task: its first step is due at once. */
+    /** Starts the task; its first step is due immediately. */
     public final void start() {
         running = true;
         wakeIn(0);
     }
 
-    /** Ends the task: no step follows. */
+    /** Stops the task; no further step runs until it is started again. */
     public void cancel() {
         running = false;
-        if (next != null) {
-            next.cancel();
-            next = null;
+        if (nextTimer != null) {
+            nextTimer.cancel();
+            nextTimer = null;
         }
     }
 
-    /** Whether the task was started and not cancelled since. */
+    /** Whether the task was started and has not been cancelled since. */
     public final boolean isRunning() {
         return running;
     }
 
-    /** Whether a further step is scheduled. */
+    /** Whether another step is scheduled. */
     public final boolean isStepScheduled() {
-        return next != null;
+        return nextTimer != null;
     }
 
-    /** How much later than due the current step began, in microseconds: a measure of processor shortage. */
+    /** The delay of the current step beyond its due time, in microseconds; it indicates a shortage of CPU time. */
     protected final long lateMicros() {
         return lateMicros;
     }
 
     /**
-     * Schedules a step within the given time, or at the end of the pause if that is later. A step that is scheduled
-     * earlier stands. Does nothing while the task is not running.
+     * Schedules a step after the delay, or at the end of the current pause if that is later. A step that is already
+     * scheduled for an earlier time is kept. Does nothing if the task is not running.
      */
     public final void wakeIn(long delayMicros) {
         if (!running) {
             return;
         }
-        long atMicros = Math.max(clock.nowMicros() + delayMicros, pausedUntilMicros);
-        if (next != null) {
-            if (dueMicros <= atMicros) {
+        long wakeMicros = Math.max(clock.nowMicros() + delayMicros, pausedUntilMicros);
+        if (nextTimer != null) {
+            if (dueMicros <= wakeMicros) {
                 return;
             }
-            next.cancel();
+            nextTimer.cancel();
         }
-        dueMicros = atMicros;
-        next = timers.after(atMicros - clock.nowMicros(), this::run);
+        dueMicros = wakeMicros;
+        nextTimer = timers.after(wakeMicros - clock.nowMicros(), this::runStep);
     }
 
-    private void run() {
-        next = null;
+    private void runStep() {
+        nextTimer = null;
         if (!running) {
             return;
         }
-        long beganMicros = clock.nowMicros();
-        lateMicros = beganMicros - dueMicros;
+        long startedMicros = clock.nowMicros();
+        lateMicros = startedMicros - dueMicros;
         long pauseMicros;
         try {
             pauseMicros = step();
         } catch (RuntimeException unexpected) {
-            LOG.error("{}: unexpected error, goes on after a pause", name, unexpected);
+            LOG.error("{}: unexpected error, the task continues after a pause", name, unexpected);
             pauseMicros = PAUSE_AFTER_ERROR_MICROS;
         }
-        long endedMicros = clock.nowMicros();
-        pausedUntilMicros = endedMicros + Math.min(MAX_PAUSE_MICROS, pauseFactor() * (endedMicros - beganMicros));
-        if (next != null && dueMicros < pausedUntilMicros) {
-            // The step scheduled another one for within its pause.
-            next.cancel();
-            next = null;
+        long finishedMicros = clock.nowMicros();
+        pausedUntilMicros =
+                finishedMicros + Math.min(MAX_PAUSE_MICROS, pauseFactor() * (finishedMicros - startedMicros));
+        if (nextTimer != null && dueMicros < pausedUntilMicros) {
+            // The step scheduled the next one at a time within the pause: postpone it to the end of the pause.
+            nextTimer.cancel();
+            nextTimer = null;
             wakeIn(0);
         }
         if (pauseMicros >= 0) {
--- a/src/main/java/org/weldcourse/runtime/Timers.java
+++ b/src/main/java/org/weldcourse/runtime/Timers.java
@@ -1,13 +1,13 @@
 package org.weldcourse.runtime;
 
-/** One-shot timers that run on the event loop. */
+/** Schedules one-shot timers on the event loop. */
 public interface Timers {
-    /** Runs the work once after a delay, in microseconds. */
+    /** Runs the work once, after the delay in microseconds. */
     Timer after(long delayMicros, Runnable work);
 
-    /** A timer that may be cancelled. */
+    /** A scheduled timer. */
     interface Timer {
-        /** Prevents the work from running; does nothing once it has run or was cancelled. */
+        /** Cancels the timer; does nothing if its work has run or it was cancelled before. */
         void cancel();
     }
 }
--- a/src/main/java/org/weldcourse/runtime/package-info.java
+++ b/src/main/java/org/weldcourse/runtime/package-info.java
@@ -1,2 +1,2 @@
-/** Clock, timers, the event loop, and scheduled background tasks. */
+/** Clock, timers and scheduled background tasks on the event loop. */
 package org.weldcourse.runtime;
--- a/src/main/java/org/weldcourse/settings/InvalidSettingsException.java
+++ b/src/main/java/org/weldcourse/settings/InvalidSettingsException.java
@@ -1,20 +1,23 @@
 package org.weldcourse.settings;
 
-/** The platform's settings or the operators' own can't be used. The message says in one line which field is wrong, and why. */
+/**
+ * Thrown for an invalid settings file of the platform or the operators. The one-line message names the invalid field
+ * and the reason.
+ */
 public final class InvalidSettingsException extends Exception {
     private static final long serialVersionUID = 1;
 
-    /** What is wrong. */
+    /** The kinds of problems. */
     public enum Problem {
-        /** The file can't be read. */
+        /** The file cannot be read. */
         UNREADABLE,
-        /** The file is not in the format that it should have. */
+        /** The file is not in the expected format. */
         MALFORMED,
-        /** A field or a table is missing, or not of the type that it should have. */
+        /** A field or table is missing or has the wrong type. */
         MISSING_OR_INVALID,
-        /** A value is not among those that are allowed. */
+        /** A value is not allowed. */
         OUT_OF_RANGE,
-        /** There is no such field, or nothing of that name. */
+        /** There is no field or element of this name. */
         UNKNOWN
     }
 
@@ -22,10 +25,10 @@
     private final String field;
 
     /**
-     * An error of one field, or of a file as a whole.
+     * Creates an exception for one field or for a whole file.
      *
-     * @param field the field's, table's or element's name as the file has it, or the name of the file
-     * @param message one line that names the field and says why it is refused
+     * @param field the name of the field, table or element in the file, or the name of the file
+     * @param message one line with the name of the field and the reason
      */
     public InvalidSettingsException(Problem problem, String field, String message) {
         super(message);
@@ -33,17 +36,17 @@
         this.field = field;
     }
 
-    /** The same error, told of a field of this table. */
-    InvalidSettingsException within(String table) {
+    /** Returns the same error for a field inside the named table. */
+    InvalidSettingsException inTable(String table) {
         return new InvalidSettingsException(problem, table + "." + field, table + ": " + getMessage());
     }
 
-    /** What is wrong with the field. */
+    /** The kind of problem. */
     public Problem problem() {
         return problem;
     }
 
-    /** The name of the field, table or element that is wrong, or of the file. */
+    /** The name of the invalid field, table or element, or of the file. */
     public String field() {
         return field;
     }
--- a/src/main/java/org/weldcourse/settings/OperatorSettings.java
+++ b/src/main/java/org/weldcourse/settings/OperatorSettings.java
@@ -11,15 +11,16 @@
 import org.weldcourse.settings.InvalidSettingsException.Problem;
 
 /**
- * Operators' own settings, from an optional XML file: one {@code <weldcourse>} element whose children name a
- * duration in seconds or a plain number. What the file leaves out keeps its default.
+ * The operators' settings, from an optional XML file: the root element {@code <weldcourse>} has one child element for
+ * each setting, with durations in seconds. Settings that the file leaves out keep their defaults.
  *
- * @param leaderLeaseMicros the time to live of the leader's lease in the state service ({@code state-lease-s})
- * @param scaleInDelayMicros how long a spot machine may stay idle before it is returned, others for a third of that
- *     ({@code idle-hold-s})
- * @param warmPoolSize how many machines are kept ready for each class of jobs with an objective for its start
+ * @param leaderLeaseMicros the time to live of the leader's lease in the store ({@code state-lease-s})
+ * @param scaleInDelayMicros how long a spot machine stays idle before it is released; other machines are released after
+ *     a third of this time ({@code idle-hold-s})
+ * @param warmPoolSize the number of machines kept ready for each job class with a start time objective
  *     ({@code warm-machines})
- * @param warmPoolRetentionMicros how long after a class's last job its warm pool is kept ({@code warm-hold-s})
+ * @param warmPoolRetentionMicros how long the warm pool of a job class is kept after its last job
+ *     ({@code warm-hold-s})
  * @param teamLimitSource where team limits come from ({@code team-limits})
  */
 public record OperatorSettings(
@@ -28,33 +29,34 @@
         int warmPoolSize,
         long warmPoolRetentionMicros,
         TeamLimitSource teamLimitSource) {
+    /** The settings without an operators' file. */
     public static final OperatorSettings DEFAULT =
             new OperatorSettings(4_000_000, 30_000_000, 1, 90_000_000, TeamLimitSource.SETTINGS);
 
-    /** Where team limits come from, and how budgets for reservations are divided where they are on record. */
+    /** The source of team limits and, for recorded limits, how the budgets for reservations are divided. */
     public enum TeamLimitSource {
-        /** From each node's settings. */
+        /** The settings file of each node. */
         SETTINGS,
-        /** From the ledger in the state service, with budgets divided in turns. */
+        /** The quota ledger in the store, with budgets divided round-robin. */
         RECORDED,
-        /** From the ledger, with budgets divided by a solver. */
+        /** The quota ledger in the store, with budgets divided by an integer programming solver. */
         RECORDED_WITH_SOLVER
     }
 
-    /** Reads and checks the operators' file. */
+    /** Reads and validates the operators' settings file. */
     public static OperatorSettings read(Path file) throws InvalidSettingsException {
         try (InputStream in = Files.newInputStream(file)) {
             return parse(in);
         } catch (IOException unreadable) {
             throw new InvalidSettingsException(
-                    Problem.UNREADABLE, file.toString(), "can't read " + file + ": " + unreadable.getMessage());
+                    Problem.UNREADABLE, file.toString(), "cannot read " + file + ": " + unreadable.getMessage());
         }
     }
 
-    /** Reads and checks settings in the form of the operators' file. */
+    /** Reads and validates settings in the format of the operators' file. */
     public static OperatorSettings parse(InputStream in) throws InvalidSettingsException {
         XMLInputFactory factory = XMLInputFactory.newFactory();
-        // A settings file has no use for DTDs, and they can reach out to other files.
+        // Settings need no DTD, and external entities would give access to other files.
         factory.setProperty(XMLInputFactory.SUPPORT_DTD, false);
         factory.setProperty(XMLInputFactory.IS_SUPPORTING_EXTERNAL_ENTITIES, false);
         try {
@@ -63,13 +65,13 @@
             throw invalid(
                     Problem.MALFORMED,
                     "",
-                    "not XML as expected, line " + malformed.getLocation().getLineNumber());
+                    "malformed XML, line " + malformed.getLocation().getLineNumber());
         }
     }
 
     private static OperatorSettings parse(XMLStreamReader reader) throws XMLStreamException, InvalidSettingsException {
         Builder builder = new Builder();
-        boolean root = true;
+        boolean expectRoot = true;
         while (reader.hasNext()) {
             int event = reader.next();
             if (event == XMLStreamConstants.DTD) {
@@ -79,11 +81,11 @@
                 continue;
             }
             String name = reader.getLocalName();
-            if (root) {
+            if (expectRoot) {
                 if (!name.equals("weldcourse")) {
-                    throw invalid(Problem.MALFORMED, name, "the root must be <weldcourse>");
+                    throw invalid(Problem.MALFORMED, name, "the root element must be <weldcourse>");
                 }
-                root = false;
+                expectRoot = false;
             } else {
                 builder.set(name, reader.getElementText().trim());
             }
@@ -91,7 +93,7 @@
         return builder.build();
     }
 
-    /** The defaults, and what the file sets in place of them. */
+    /** Collects the settings of the file over the defaults. */
     private static final class Builder {
         private long leaderLeaseMicros = DEFAULT.leaderLeaseMicros;
         private long scaleInDelayMicros = DEFAULT.scaleInDelayMicros;
@@ -140,12 +142,12 @@
                 return number;
             }
         } catch (NumberFormatException notNumber) {
-            // Said below, like a number out of range.
+            // Reported below, like a number out of range.
         }
         throw invalid(Problem.OUT_OF_RANGE, name, "<" + name + "> must be a number from " + min + " to " + max);
     }
 
-    private static InvalidSettingsException invalid(Problem problem, String element, String why) {
-        return new InvalidSettingsException(problem, element, "operators' settings: " + why);
+    private static InvalidSettingsException invalid(Problem problem, String element, String reason) {
+        return new InvalidSettingsException(problem, element, "operators' settings: " + reason);
     }
 }
--- a/src/main/java/org/weldcourse/settings/Settings.java
+++ b/src/main/java/org/weldcourse/settings/Settings.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** What the platform's file says. Amounts keep the file's units, durations are microseconds. */
+/** The settings from the platform's file. Amounts keep the units of the file; durations are in microseconds. */
 public record Settings(
         String nodeName,
         String zone,
@@ -20,14 +20,14 @@
         CloudLimits cloudLimits,
         int maxSockets) {
 
-    private static final int MAX_OWN_SOCKETS = 200;
+    private static final int MAX_OUTBOUND_SOCKETS = 200;
 
-    /** Another controller. */
+    /** Another controller of the cluster. */
     public record Peer(String name, String zone, String address) {}
 
-    /** A guarantee or limit of 0 in the file means none: no guarantee, no limit. */
+    /** The quota of a team: its guarantee, and its limit, where positive infinity means no limit. */
     public record Team(String name, double cpus, double cpusMax, double gpus, double gpusMax) {
-        /** Takes a limit of 0 as none. */
+        /** Creates a team; a limit of 0, as in the settings file, means no limit. */
         public Team {
             cpusMax = cpusMax > 0 ? cpusMax : Double.POSITIVE_INFINITY;
             gpusMax = gpusMax > 0 ? gpusMax : Double.POSITIVE_INFINITY;
@@ -35,33 +35,35 @@
     }
 
     /**
-     * What the platform promises for a class of jobs.
+     * A service level objective for a class of jobs.
      *
-     * @param withinMicros the time that {@code START} and {@code COMPLETION} allow from submission; 0 for {@code DEADLINE}
-     * @param targetShare the share of the jobs, 0 to 1, that should meet it
-     * @param deadlineFactor for {@code DEADLINE}, by how much the time to the job's own deadline is multiplied
+     * @param withinMicros for {@code START} and {@code COMPLETION}, the time allowed since submission; 0 for {@code
+     *     DEADLINE}
+     * @param targetShare the share of jobs, from 0 to 1, that should meet the objective
+     * @param deadlineFactor for {@code DEADLINE}, the factor applied to the time between submission and the job's
+     *     deadline
      */
     public record ServiceLevelObjective(
             Kind kind, String jobClass, long withinMicros, double targetShare, double deadlineFactor) {
-        /** What is measured. */
+        /** What the objective measures. */
         public enum Kind {
-            /** Time from submission until tasks run. */
+            /** The time from submission until tasks run. */
             START("wait"),
-            /** Time from submission until the job is done. */
+            /** The time from submission until the job is complete. */
             COMPLETION("finished"),
-            /** Whether the job is done by its own deadline. */
+            /** Whether the job is complete by its own deadline. */
             DEADLINE("deadline");
 
-            private final String word;
+            private final String externalName;
 
             Kind(String word) {
-                this.word = word;
+                this.externalName = word;
             }
 
-            /** The kind that the settings file calls so; none for one that this version does not know. */
-            static Optional<Kind> ofWord(String word) {
+            /** The kind with this name in the settings file; empty if this version does not know it. */
+            static Optional<Kind> fromExternalName(String word) {
                 for (Kind kind : values()) {
-                    if (kind.word.equals(word)) {
+                    if (kind.externalName.equals(word)) {
                         return Optional.of(kind);
                     }
                 }
@@ -71,13 +73,13 @@
     }
 
     /**
-     * How workers send heartbeats, and how long their leases and cancellations last.
+     * Time limits of the worker protocol.
      *
-     * @param heartbeatIntervalMicros how often a worker reports
-     * @param leaseMicros how long a worker keeps its tasks without an answer
-     * @param gangWaitMicros how long a task of a gang waits for the others
-     * @param gangPeerMicros how soon the tasks of a gang notice that one of them is gone
-     * @param cancelMicros how soon after a confirmed cancellation all tasks must be gone
+     * @param heartbeatIntervalMicros the interval between heartbeats of a worker
+     * @param leaseMicros how long a worker keeps its tasks running without a response to its heartbeats
+     * @param gangWaitMicros how long a task of a gang waits for the others to start
+     * @param gangPeerMicros how soon the tasks of a gang detect that one of them has ended
+     * @param cancelMicros how soon after a confirmed cancellation all tasks must have ended
      */
     public record Workers(
             long heartbeatIntervalMicros,
@@ -87,8 +89,10 @@
             long cancelMicros) {}
 
     /**
-     * The state service's limits. It may lower them without notice to {@code upcoming}, or null: what is written keeps to the
-     * smaller of both from the start.
+     * The limits of the store. They may change to {@code upcoming} without notice, so writes always stay within the
+     * smaller of both limits.
+     *
+     * @param upcoming the limits after the change, or null if none is announced
      */
     public record StoreLimits(
             double requestsPerSecond,
@@ -96,52 +100,56 @@
             int maxValueBytes,
             int maxTransactionOps,
             UpcomingStoreLimits upcoming) {
-        /** Limits that stay as they are. */
+        /** Creates limits without an announced change. */
         public StoreLimits(double requestsPerSecond, double writesPerSecond, int maxValueBytes, int maxTransactionOps) {
             this(requestsPerSecond, writesPerSecond, maxValueBytes, maxTransactionOps, null);
         }
 
-        /** The size of a value that is allowed now and later. */
+        /** The largest value size within both the current and the upcoming limit. */
         public int safeValueBytes() {
             return upcoming == null ? maxValueBytes : Math.min(maxValueBytes, upcoming.maxValueBytes());
         }
 
-        /** The changes of a transaction that are allowed now and later. */
+        /** The most operations in a transaction within both the current and the upcoming limit. */
         public int safeTransactionOps() {
             return upcoming == null ? maxTransactionOps : Math.min(maxTransactionOps, upcoming.maxTransactionOps());
         }
 
-        /** The rate of changes that is allowed now and later. */
+        /** The highest write rate within both the current and the upcoming limit. */
         public double safeWritesPerSecond() {
             return upcoming == null ? writesPerSecond : Math.min(writesPerSecond, upcoming.writesPerSecond());
         }
     }
 
-    /** The limits that the state service may have from some moment on. */
+    /** Limits of the store that may come into effect without notice. */
     public record UpcomingStoreLimits(double writesPerSecond, int maxValueBytes, int maxTransactionOps) {}
 
-    /** The limits of the cloud's interface. */
+    /**
+     * The limits of the cloud API.
+     *
+     * @param listLagMicros how far the cloud's list of machines may lag behind changes
+     */
     public record CloudLimits(double requestsPerSecond, long listLagMicros) {}
 
     /**
-     * Sockets kept back for the node's own calls: those to the state service wait for users' requests, which are
-     * bounded, so that a large grant goes to workers and users.
+     * The number of sockets reserved for outbound connections. It is capped, because store requests on behalf of users
+     * are bounded: the rest of a large socket quota serves inbound connections of workers and users.
      */
     public int outboundSockets() {
-        return Math.min(maxSockets / 4, MAX_OWN_SOCKETS);
+        return Math.min(maxSockets / 4, MAX_OUTBOUND_SOCKETS);
     }
 
-    /** How many of them may be left open for the next calls, however many connections others hold. */
+    /** How many outbound connections may stay open while idle, regardless of the number of inbound ones. */
     public int reservedIdleSockets() {
         return outboundSockets() / 3;
     }
 
-    /** How many of them may be messages under way to workers. */
+    /** How many outbound connections may be used at a time to send commands to workers. */
     public int workerCommandSockets() {
         return outboundSockets() / 4;
     }
 
-    /** The team of this name, or null. */
+    /** The team with this name, or null. */
     public Team team(String name) {
         for (Team team : teams) {
             if (team.name().equals(name)) {
--- a/src/main/java/org/weldcourse/settings/SettingsFile.java
+++ b/src/main/java/org/weldcourse/settings/SettingsFile.java
@@ -10,26 +10,26 @@
 import org.weldcourse.settings.InvalidSettingsException.Problem;
 import org.weldcourse.settings.Settings.ServiceLevelObjective;
 
-/** Reads the platform's TOML file. Unknown fields are ignored; what is missing or invalid is named. */
+/** Reads the platform's settings file (TOML). Unknown fields are ignored; a missing or invalid field is an error. */
 public final class SettingsFile {
-    /** A quarter is for the node's own calls: watches, renewals, the other controllers, and some for requests. */
+    /** A quarter of the sockets serves outbound connections: watches, lease renewals, peers and user requests. */
     private static final int MIN_SOCKETS = 40;
-    /** The largest heap that the service is started with, and what the machine below it takes. */
+    /** The maximum heap size that the service is started with, plus the overhead of the Java virtual machine. */
     private static final int MIN_MEMORY_MB = 110;
 
     private SettingsFile() {}
 
-    /** Reads and checks the platform's file. */
+    /** Reads and validates the platform's settings file. */
     public static Settings read(Path file) throws InvalidSettingsException {
         try (Reader in = Files.newBufferedReader(file)) {
             return parse(in);
         } catch (IOException unreadable) {
             throw new InvalidSettingsException(
-                    Problem.UNREADABLE, file.toString(), "can't read " + file + ": " + unreadable.getMessage());
+                    Problem.UNREADABLE, file.toString(), "cannot read " + file + ": " + unreadable.getMessage());
         }
     }
 
-    /** Reads and checks settings in the form of the platform's file. */
+    /** Reads and validates settings in the format of the platform's file. */
     public static Settings parse(Reader in) throws InvalidSettingsException {
         TomlTable root = TomlTable.parse(in);
         TomlTable deployment = root.table("deployment");
@@ -43,14 +43,14 @@
         List<Settings.Team> teams = teams(deployment);
         List<ServiceLevelObjective> objectives = objectives(deployment);
         return new Settings(
-                root.text("host_name"),
-                root.text("site"),
+                root.string("host_name"),
+                root.string("site"),
                 root.address("api_addr"),
                 root.address("back"),
                 peers,
                 endpoints.address("cloud"),
                 endpoints.address("state"),
-                deployment.texts("zones"),
+                deployment.strings("zones"),
                 teams,
                 objectives,
                 workers(workers),
@@ -59,7 +59,7 @@
                 (int) quota.positive("max_sockets"));
     }
 
-    /** With less a controller would start, and end or refuse everybody as soon as there is work. */
+    /** Rejects quotas with which a controller would start, but would exit or refuse all requests under load. */
     private static void checkQuota(TomlTable quota) throws InvalidSettingsException {
         checkAtLeast(quota, "max_sockets", quota.positive("max_sockets"), MIN_SOCKETS);
         checkAtLeast(quota, "memory_mb", quota.number("memory_mb", MIN_MEMORY_MB), MIN_MEMORY_MB);
@@ -71,14 +71,14 @@
             throw new InvalidSettingsException(
                     Problem.OUT_OF_RANGE,
                     name,
-                    name + " = " + quota.value(name) + " is too small to serve with: at least " + min + " is needed");
+                    name + " = " + quota.value(name) + " is too small: at least " + min + " is required");
         }
     }
 
     private static List<Settings.Peer> peers(TomlTable root) throws InvalidSettingsException {
         List<Settings.Peer> peers = new ArrayList<>();
         for (TomlTable peer : root.tables("known")) {
-            peers.add(new Settings.Peer(peer.text("host_name"), peer.text("site"), peer.address("address")));
+            peers.add(new Settings.Peer(peer.string("host_name"), peer.string("site"), peer.address("address")));
         }
         return List.copyOf(peers);
     }
@@ -87,7 +87,7 @@
         List<Settings.Team> teams = new ArrayList<>();
         for (TomlTable team : deployment.tables("teams")) {
             teams.add(new Settings.Team(
-                    team.text("name"),
+                    team.string("name"),
                     team.number("cpus"),
                     team.number("cpus_max"),
                     team.number("gpus"),
@@ -99,12 +99,13 @@
     private static List<ServiceLevelObjective> objectives(TomlTable deployment) throws InvalidSettingsException {
         List<ServiceLevelObjective> objectives = new ArrayList<>();
         for (TomlTable objective : deployment.tables("objectives")) {
-            Optional<ServiceLevelObjective.Kind> kind = ServiceLevelObjective.Kind.ofWord(objective.text("kind"));
-            String jobClass = objective.text("class");
+            Optional<ServiceLevelObjective.Kind> kind =
+                    ServiceLevelObjective.Kind.fromExternalName(objective.string("kind"));
+            String jobClass = objective.string("class");
             long withinMicros = objective.microsOrZero("within_s");
             double targetShare = objective.number("share", 0);
             double deadlineFactor = objective.number("times", 1);
-            // A kind that this version does not know changes nothing that it decides.
+            // An objective of a kind unknown to this version is ignored: it affects none of its decisions.
             kind.ifPresent(known -> objectives.add(
                     new ServiceLevelObjective(known, jobClass, withinMicros, targetShare, deadlineFactor)));
         }
@@ -138,7 +139,7 @@
             return new Settings.UpcomingStoreLimits(
                     next.positive("write_rps"), valueBytes(next), next.atLeastOne("txn_ops"));
         } catch (InvalidSettingsException invalid) {
-            throw invalid.within("state.next");
+            throw invalid.inTable("state.next");
         }
     }
 
--- a/src/main/java/org/weldcourse/settings/TomlTable.java
+++ b/src/main/java/org/weldcourse/settings/TomlTable.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.weldcourse.settings.InvalidSettingsException.Problem;
 
-/** A table of a TOML file. Its fields are read by name and type, and one that is missing or invalid is an error. */
+/** A table of a TOML file with typed access to its fields. A missing or invalid field is an error. */
 final class TomlTable {
     private final UnmodifiableConfig table;
 
@@ -16,7 +16,7 @@
         this.table = table;
     }
 
-    /** The whole file as a table. */
+    /** Parses a whole file. */
     static TomlTable parse(Reader in) throws InvalidSettingsException {
         try {
             return new TomlTable(new TomlParser().parse(in));
@@ -43,7 +43,7 @@
         throw new InvalidSettingsException(Problem.MISSING_OR_INVALID, name, "missing or invalid table: " + name);
     }
 
-    /** A list of tables; empty when there is none. */
+    /** A list of tables; empty if the field is missing. */
     List<TomlTable> tables(String name) throws InvalidSettingsException {
         Object value = value(name);
         List<TomlTable> tables = new ArrayList<>();
@@ -51,26 +51,26 @@
             return tables;
         }
         if (!(value instanceof List<?> items)) {
-            throw notTables(name);
+            throw invalidTableList(name);
         }
         for (Object item : items) {
             if (!(item instanceof UnmodifiableConfig inner)) {
-                throw notTables(name);
+                throw invalidTableList(name);
             }
             tables.add(new TomlTable(inner));
         }
         return tables;
     }
 
-    /** A text of one character at least. */
-    String text(String name) throws InvalidSettingsException {
+    /** A non-empty string. */
+    String string(String name) throws InvalidSettingsException {
         if (value(name) instanceof String text && !text.isEmpty()) {
             return text;
         }
         throw invalid(name);
     }
 
-    List<String> texts(String name) throws InvalidSettingsException {
+    List<String> strings(String name) throws InvalidSettingsException {
         if (!(value(name) instanceof List<?> items)) {
             throw invalid(name);
         }
@@ -86,14 +86,14 @@
 
     /** An address of the form HOST:PORT. */
     String address(String name) throws InvalidSettingsException {
-        String address = text(name);
+        String address = string(name);
         if (address.matches("[^:]+:[0-9]{1,5}")) {
             return address;
         }
         throw new InvalidSettingsException(Problem.OUT_OF_RANGE, name, "not HOST:PORT: " + name);
     }
 
-    /** A finite number, 0 at least. */
+    /** A finite number of at least 0. */
     double number(String name) throws InvalidSettingsException {
         if (value(name) instanceof Number number
                 && number.doubleValue() >= 0
@@ -103,7 +103,7 @@
         throw invalid(name);
     }
 
-    /** A finite number, 0 at least, or the default when there is none. */
+    /** A finite number of at least 0, or the default if the field is missing. */
     double number(String name, double defaultValue) throws InvalidSettingsException {
         return has(name) ? number(name) : defaultValue;
     }
@@ -117,11 +117,11 @@
         throw new InvalidSettingsException(Problem.OUT_OF_RANGE, name, "must be above 0: " + name);
     }
 
-    /** The whole part of a number, 1 at least. */
+    /** The integer part of a number, at least 1. */
     int atLeastOne(String name) throws InvalidSettingsException {
         int number = (int) positive(name);
         if (number < 1) {
-            throw new InvalidSettingsException(Problem.OUT_OF_RANGE, name, "must be 1 at least: " + name);
+            throw new InvalidSettingsException(Problem.OUT_OF_RANGE, name, "must be at least 1: " + name);
         }
         return number;
     }
@@ -136,12 +136,12 @@
         return micros(number(name));
     }
 
-    /** A duration in seconds, as microseconds; 0 when there is none. */
+    /** A duration in seconds, as microseconds; 0 if the field is missing. */
     long microsOrZero(String name) throws InvalidSettingsException {
         return micros(number(name, 0));
     }
 
-    /** The value as the file has it, or null. Names are not paths: a dot in one has no meaning. */
+    /** The parsed value of the field, or null. The name is not a path: a dot in it has no special meaning. */
     Object value(String name) {
         return table.get(List.of(name));
     }
@@ -154,7 +154,7 @@
         return new InvalidSettingsException(Problem.MISSING_OR_INVALID, name, "missing or invalid field: " + name);
     }
 
-    private static InvalidSettingsException notTables(String name) {
+    private static InvalidSettingsException invalidTableList(String name) {
         return new InvalidSettingsException(Problem.MISSING_OR_INVALID, name, "invalid list of tables: " + name);
     }
 }
--- a/src/test/java/org/weldcourse/http/ConnectionLimiterTest.java
+++ b/src/test/java/org/weldcourse/http/ConnectionLimiterTest.java
@@ -17,7 +17,7 @@
             new ConnectionLimiter<>(4, 3, EVICT_AFTER_SILENT_MICROS, closed::add);
 
     private boolean worker(String connection, long nowMicros) {
-        return limiter.admit(connection, nowMicros) && limiter.onRequest(connection, true, nowMicros);
+        return limiter.admit(connection, nowMicros) && limiter.recordRequest(connection, true, nowMicros);
     }
 
     @Test
@@ -25,7 +25,7 @@
         assertTrue(worker("a", 0));
         assertTrue(worker("b", 1));
         assertTrue(worker("c", 2));
-        assertTrue(limiter.onRequest("a", true, 11));
+        assertTrue(limiter.recordRequest("a", true, 11));
         assertTrue(worker("d", 12));
         assertEquals(List.of("b"), closed);
         assertEquals(3, limiter.size());
--- a/src/test/java/org/weldcourse/http/IdleConnectionPoolTest.java
+++ b/src/test/java/org/weldcourse/http/IdleConnectionPoolTest.java
@@ -15,27 +15,27 @@
         int[] room = {3};
         IdleConnectionPool<String> pool = new IdleConnectionPool<>(() -> room[0], closed::add);
         for (int i = 0; i < 5; i++) {
-            pool.keep("worker-" + i, "line " + i);
+            pool.release("worker-" + i, "line " + i);
         }
         assertEquals(List.of("line 0", "line 1"), closed);
         // Others opened connections meanwhile.
         room[0] = 2;
         pool.trim();
         assertEquals(List.of("line 0", "line 1", "line 2"), closed);
-        assertNull(pool.take("worker-0"));
-        assertEquals("line 4", pool.take("worker-4"));
-        assertNull(pool.take("worker-4"));
+        assertNull(pool.acquire("worker-0"));
+        assertEquals("line 4", pool.acquire("worker-4"));
+        assertNull(pool.acquire("worker-4"));
     }
 
     @Test
     void theOneUsedLastIsTakenAndALostOneForgotten() {
         IdleConnectionPool<String> pool = new IdleConnectionPool<>(() -> 3, connection -> {});
-        pool.keep("state", "first");
-        pool.keep("state", "second");
-        pool.keep("state", "third");
-        pool.forget("second");
-        assertEquals("third", pool.take("state"));
-        assertEquals("first", pool.take("state"));
-        assertNull(pool.take("state"));
+        pool.release("state", "first");
+        pool.release("state", "second");
+        pool.release("state", "third");
+        pool.remove("second");
+        assertEquals("third", pool.acquire("state"));
+        assertEquals("first", pool.acquire("state"));
+        assertNull(pool.acquire("state"));
     }
 }
