--- a/soak.sh
+++ b/soak.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Seeded runs of real controllers under faults: ./soak.sh --seeds 1-50 --parallel 4; --help lists the options.
+# Runs real controllers under randomly injected faults, one run per seed: ./soak.sh --seeds 1-50 --parallel 4
+# The option --help lists all options.
 set -eu
 cd "$(dirname "$0")"
 mvn -q -DskipTests package
--- a/src/main/java/org/weldcourse/app/Controller.java
+++ b/src/main/java/org/weldcourse/app/Controller.java
@@ -27,8 +27,8 @@
 import org.weldcourse.workers.StartCounts;
 
 /**
- * One controller: creates, connects, starts and stops its components on one event loop. Its only state of its own is
- * the leader term, which exists from this node's election as leader until it loses leadership.
+ * One controller: creates, connects, starts and stops its components on one event loop. The only state that
+ * it holds itself is the leader term, which lasts from this node's election until the node loses leadership.
  */
 public final class Controller {
     private final Settings settings;
--- a/src/main/java/org/weldcourse/app/Main.java
+++ b/src/main/java/org/weldcourse/app/Main.java
@@ -53,7 +53,7 @@
 
     /**
      * Whether the arguments are those with which the platform starts a controller: {@code --config FILE} alone. They
-     * are handled without picocli, whose hundred classes take a fifth of the startup time.
+     * are handled without picocli, because loading its hundred classes takes a fifth of the startup time.
      */
     static boolean isPlatformInvocation(String[] args) {
         return args.length == 2 && args[0].equals("--config") && !args[1].startsWith("-");
--- a/src/main/java/org/weldcourse/app/Node.java
+++ b/src/main/java/org/weldcourse/app/Node.java
@@ -64,8 +64,8 @@
     }
 
     /**
-     * All sockets that inbound connections leave free may hold idle outbound ones: reuse is cheaper than a new
-     * connection.
+     * The maximum number of idle outbound connections: all sockets that inbound connections leave free, because reusing
+     * a connection is cheaper than opening one.
      */
     private int maxIdleSockets() {
         int free = settings.maxSockets() - settings.outboundSockets() - server.openConnections();
--- a/src/main/java/org/weldcourse/app/Readiness.java
+++ b/src/main/java/org/weldcourse/app/Readiness.java
@@ -82,8 +82,8 @@
                 && clock.nowMicros() - store.failingSinceMicros() > STORE_OUTAGE_TOLERANCE_MICROS
                 && !isStoreOutageShared()) {
             // Either the store serves other nodes, or this node is isolated: in both cases users are better served
-            // elsewhere. During an outage of the store for all nodes, the node stays ready, since no other serves
-            // better.
+            // elsewhere. If the store fails for all nodes, the node stays ready, since no other could serve users
+            // either.
             return Optional.of("the state service does not serve this node");
         }
         return Optional.empty();
--- a/src/main/java/org/weldcourse/app/StubServices.java
+++ b/src/main/java/org/weldcourse/app/StubServices.java
@@ -8,7 +8,7 @@
 import org.weldcourse.runtime.EventLoopTimers;
 
 /**
- * Stub of the state service and the cloud for the {@link WarmUp}: there is one job and one machine type, and every
+ * Stub of the store and the cloud for the {@link WarmUp}: there is one job and one machine type, and every
  * commit succeeds.
  */
 final class StubServices {
--- a/src/main/java/org/weldcourse/app/WarmUp.java
+++ b/src/main/java/org/weldcourse/app/WarmUp.java
@@ -109,7 +109,7 @@
             sendRequests(loop, apiPort, settings(apiPort, ports.findFreePort(), servicesPort));
             return true;
         } catch (Exception failure) {
-            // Netty rethrows checked exceptions undeclared, so BindException has no catch clause of its own.
+            // Netty throws checked exceptions such as BindException without declaring them.
             if (failure instanceof BindException) {
                 return false;
             }
--- a/src/main/java/org/weldcourse/http/ConnectionLimiter.java
+++ b/src/main/java/org/weldcourse/http/ConnectionLimiter.java
@@ -6,9 +6,9 @@
 
 /**
  * Limits the number of inbound connections, with a separate, lower limit for workers, so that some connections remain
- * for users and health checks. At a limit, the connection that has been silent longest is evicted if it exceeds the
- * maximum silence; otherwise the new connection is refused. Eviction is needed because machines that fail or become
- * unreachable do not close their connections.
+ * for users and health checks. At a limit, the connection that has been silent longest is evicted if it has been
+ * silent so long that its client must be gone; otherwise the new connection is refused. Eviction is needed because
+ * machines that fail or become unreachable do not close their connections.
  *
  * <p>Not thread-safe: used on the server's event loop only.
  */
@@ -17,7 +17,7 @@
     private final int maxWorkerConnections;
     private final long evictAfterSilentMicros;
     private final Consumer<T> closer;
-    /** The time of the last request by connection, in microseconds; the longest silent connection comes first. */
+    /** The time of the last activity of each connection, in microseconds; the longest silent one comes first. */
     private final Map<T, Long> workerConnections = new LinkedHashMap<>();
 
     private final Map<T, Long> otherConnections = new LinkedHashMap<>();
@@ -27,7 +27,7 @@
      *
      * @param maxConnections the maximum number of connections
      * @param maxWorkerConnections how many of these may belong to workers
-     * @param evictAfterSilentMicros the time without requests after which a connection may be evicted
+     * @param evictAfterSilentMicros the time of silence after which a connection may be evicted
      * @param closer closes an evicted connection
      */
     ConnectionLimiter(int maxConnections, int maxWorkerConnections, long evictAfterSilentMicros, Consumer<T> closer) {
--- a/src/main/java/org/weldcourse/http/HttpClient.java
+++ b/src/main/java/org/weldcourse/http/HttpClient.java
@@ -33,7 +33,7 @@
 
     /** Receives the outcome of a call. */
     interface Callback {
-        /** Receives the response; called exactly once for each call. */
+        /** Called exactly once for each call. */
         void accept(Response response);
     }
 
--- a/src/main/java/org/weldcourse/http/IdleConnectionPool.java
+++ b/src/main/java/org/weldcourse/http/IdleConnectionPool.java
@@ -25,7 +25,7 @@
         this.closer = closer;
     }
 
-    /** Returns a connection to the pool, for the next request to the address. */
+    /** Adds an idle connection to the pool, for the next request to the address. */
     void release(String address, T connection) {
         byAddress.computeIfAbsent(address, unused -> new ArrayDeque<>()).addLast(connection);
         longestIdleFirst.put(connection, address);
--- a/src/main/java/org/weldcourse/http/Json.java
+++ b/src/main/java/org/weldcourse/http/Json.java
@@ -57,7 +57,7 @@
         }
     }
 
-    /** Creates a streaming parser, for frequent bodies that should not be converted to maps; the caller closes it. */
+    /** Creates a streaming parser, for bodies too frequent to convert to maps first; the caller closes it. */
     public static JsonParser reader(byte[] bytes) throws IOException {
         return FACTORY.createParser(bytes);
     }
--- a/src/main/java/org/weldcourse/http/NettyHttpClient.java
+++ b/src/main/java/org/weldcourse/http/NettyHttpClient.java
@@ -54,10 +54,9 @@
         String poolKey = call.dedicatedConnection() ? call.address() + DEDICATED_SUFFIX : call.address();
         Connection idleConnection = takeIdle(poolKey);
         Exchange exchange = new Exchange(call, callback);
-        // A delayed event loop runs expired timers before it reads its sockets, where the response may already wait.
-        // The
-        // grace period lets it read them once more before the call times out. Without it, a busy leader lost its lease
-        // although the renewals had been answered in time.
+        // A delayed event loop runs expired timers before it reads its sockets, where a response may be waiting.
+        // The grace period lets it read them once more before the call times out. Without it, a busy leader lost its
+        // lease although the renewals had been answered in time.
         exchange.timeout = loop.schedule(
                 () -> exchange.timeout =
                         loop.schedule(exchange::handleTimeout, TIMEOUT_GRACE_MICROS, TimeUnit.MICROSECONDS),
--- a/src/main/java/org/weldcourse/runtime/Clock.java
+++ b/src/main/java/org/weldcourse/runtime/Clock.java
@@ -1,6 +1,6 @@
 package org.weldcourse.runtime;
 
-/** A source of time in whole microseconds, which tests replace. */
+/** A source of time in whole microseconds; tests use a simulated one. */
 public interface Clock {
     /** Monotonic time; only the difference between two readings is meaningful. */
     long nowMicros();
--- a/src/main/java/org/weldcourse/runtime/ScheduledTask.java
+++ b/src/main/java/org/weldcourse/runtime/ScheduledTask.java
@@ -35,15 +35,15 @@
     }
 
     /**
-     * Runs one step. Returns the delay of the next step in microseconds, or a negative value to schedule none; {@link
-     * #wakeIn} then schedules it.
+     * Runs one step. Returns the delay of the next step in microseconds, or a negative value to wait for a
+     * call of {@link #wakeIn}.
      */
     protected abstract long step();
 
     /**
-     * The length of the pause after each step, as a multiple of the step's duration. It bounds the task's share of the
-     * CPU, however slow its steps are, so that lease renewals, heartbeats and user requests are still served. A factor
-     * of 0 means no pause, for tasks whose steps must run when they are due.
+     * The length of the pause after each step, as a multiple of the step's duration and at most 2 seconds. The pause
+     * leaves CPU time for lease renewals, heartbeats and user requests, also where steps are slow. A factor of 0 means
+     * no pause, for tasks whose steps must run when they are due.
      */
     protected int pauseFactor() {
         return 0;
--- a/src/main/java/org/weldcourse/settings/Settings.java
+++ b/src/main/java/org/weldcourse/settings/Settings.java
@@ -56,14 +56,14 @@
 
             private final String externalName;
 
-            Kind(String word) {
-                this.externalName = word;
+            Kind(String externalName) {
+                this.externalName = externalName;
             }
 
             /** The kind with this name in the settings file; empty if this version does not know it. */
-            static Optional<Kind> fromExternalName(String word) {
+            static Optional<Kind> fromExternalName(String name) {
                 for (Kind kind : values()) {
-                    if (kind.externalName.equals(word)) {
+                    if (kind.externalName.equals(name)) {
                         return Optional.of(kind);
                     }
                 }
@@ -100,7 +100,7 @@
             int maxValueBytes,
             int maxTransactionOps,
             UpcomingStoreLimits upcoming) {
-        /** Creates limits without an announced change. */
+        /** Creates limits that do not change. */
         public StoreLimits(double requestsPerSecond, double writesPerSecond, int maxValueBytes, int maxTransactionOps) {
             this(requestsPerSecond, writesPerSecond, maxValueBytes, maxTransactionOps, null);
         }
--- a/src/main/java/org/weldcourse/settings/SettingsFile.java
+++ b/src/main/java/org/weldcourse/settings/SettingsFile.java
@@ -12,9 +12,9 @@
 
 /** Reads the platform's settings file (TOML). Unknown fields are ignored; a missing or invalid field is an error. */
 public final class SettingsFile {
-    /** A quarter of the sockets serves outbound connections: watches, lease renewals, peers and user requests. */
+    /** The minimum socket quota; a quarter is for outbound calls: watches, lease renewals, peers and user requests. */
     private static final int MIN_SOCKETS = 40;
-    /** The maximum heap size that the service is started with, plus the overhead of the Java virtual machine. */
+    /** The minimum memory quota: the maximum heap size of the service plus the overhead of the Java virtual machine. */
     private static final int MIN_MEMORY_MB = 110;
 
     private SettingsFile() {}
--- a/src/test/java/org/weldcourse/http/ConnectionLimiterTest.java
+++ b/src/test/java/org/weldcourse/http/ConnectionLimiterTest.java
@@ -16,37 +16,37 @@
     private final ConnectionLimiter<String> limiter =
             new ConnectionLimiter<>(4, 3, EVICT_AFTER_SILENT_MICROS, closed::add);
 
-    private boolean worker(String connection, long nowMicros) {
+    private boolean connectWorker(String connection, long nowMicros) {
         return limiter.admit(connection, nowMicros) && limiter.recordRequest(connection, true, nowMicros);
     }
 
     @Test
-    void whatTheDeadLeftBehindMakesRoomTheLongestSilentFirst() {
-        assertTrue(worker("a", 0));
-        assertTrue(worker("b", 1));
-        assertTrue(worker("c", 2));
+    void evictsTheLongestSilentConnectionWhenFull() {
+        assertTrue(connectWorker("a", 0));
+        assertTrue(connectWorker("b", 1));
+        assertTrue(connectWorker("c", 2));
         assertTrue(limiter.recordRequest("a", true, 11));
-        assertTrue(worker("d", 12));
+        assertTrue(connectWorker("d", 12));
         assertEquals(List.of("b"), closed);
         assertEquals(3, limiter.size());
     }
 
     @Test
-    void theLivingDoNotMakeRoomAndWorkersLeaveTheirShareToUsers() {
-        assertTrue(worker("a", 0));
-        assertTrue(worker("b", 1));
-        assertTrue(worker("c", 2));
-        assertFalse(worker("d", 5));
+    void keepsActiveConnectionsAndReservesConnectionsForUsers() {
+        assertTrue(connectWorker("a", 0));
+        assertTrue(connectWorker("b", 1));
+        assertTrue(connectWorker("c", 2));
+        assertFalse(connectWorker("d", 5));
         limiter.remove("d");
         assertTrue(limiter.admit("user", 5));
-        assertFalse(limiter.admit("one too many", 6));
+        assertFalse(limiter.admit("second user", 6));
         assertEquals(List.of(), closed);
     }
 
     @Test
-    void aUsersConnectionLongSilentGoesBeforeAnyWorkers() {
-        assertTrue(worker("a", 0));
-        assertTrue(worker("b", 0));
+    void evictsSilentUserConnectionsBeforeWorkerConnections() {
+        assertTrue(connectWorker("a", 0));
+        assertTrue(connectWorker("b", 0));
         assertTrue(limiter.admit("user", 0));
         assertTrue(limiter.admit("another", 11));
         assertTrue(limiter.admit("third", 12));
--- a/src/test/java/org/weldcourse/http/IdleConnectionPoolTest.java
+++ b/src/test/java/org/weldcourse/http/IdleConnectionPoolTest.java
@@ -10,25 +10,25 @@
 /** Tests of {@link IdleConnectionPool}. */
 class IdleConnectionPoolTest {
     @Test
-    void thoseThatIdleLongestMakeRoom() {
+    void closesTheLongestIdleConnectionsAboveTheMaximum() {
         List<String> closed = new ArrayList<>();
-        int[] room = {3};
-        IdleConnectionPool<String> pool = new IdleConnectionPool<>(() -> room[0], closed::add);
+        int[] maxIdle = {3};
+        IdleConnectionPool<String> pool = new IdleConnectionPool<>(() -> maxIdle[0], closed::add);
         for (int i = 0; i < 5; i++) {
-            pool.release("worker-" + i, "line " + i);
+            pool.release("worker-" + i, "connection " + i);
         }
-        assertEquals(List.of("line 0", "line 1"), closed);
-        // Others opened connections meanwhile.
-        room[0] = 2;
+        assertEquals(List.of("connection 0", "connection 1"), closed);
+        // The maximum decreases because inbound connections were opened.
+        maxIdle[0] = 2;
         pool.trim();
-        assertEquals(List.of("line 0", "line 1", "line 2"), closed);
+        assertEquals(List.of("connection 0", "connection 1", "connection 2"), closed);
         assertNull(pool.acquire("worker-0"));
-        assertEquals("line 4", pool.acquire("worker-4"));
+        assertEquals("connection 4", pool.acquire("worker-4"));
         assertNull(pool.acquire("worker-4"));
     }
 
     @Test
-    void theOneUsedLastIsTakenAndALostOneForgotten() {
+    void acquiresTheMostRecentlyUsedConnectionAndDropsRemovedOnes() {
         IdleConnectionPool<String> pool = new IdleConnectionPool<>(() -> 3, connection -> {});
         pool.release("state", "first");
         pool.release("state", "second");
--- a/src/test/java/org/weldcourse/runtime/ScheduledTaskTest.java
+++ b/src/test/java/org/weldcourse/runtime/ScheduledTaskTest.java
@@ -4,14 +4,14 @@
 
 import org.junit.jupiter.api.Test;
 
-/** How a slow processor is shared: a task with a pause factor leaves a stated part of it to others, one without does not. */
+/** Tests of the pause factor of {@link ScheduledTask}, which leaves CPU time for other work when steps are slow. */
 class ScheduledTaskTest {
-    private static final long MILLI = 1_000;
+    private static final long MICROS_PER_MILLI = 1_000;
 
     private long nowMicros;
     private long dueMicros = -1;
     private Runnable pending;
-    private long tookMicros = 100 * MILLI;
+    private long stepDurationMicros = 100 * MICROS_PER_MILLI;
 
     private final Clock clock = new Clock() {
         @Override
@@ -25,7 +25,7 @@
         }
     };
 
-    private ScheduledTask started(int pauseFactor, boolean wakesItself) {
+    private ScheduledTask startTask(int pauseFactor, boolean wakesItself) {
         ScheduledTask task =
                 new ScheduledTask("slow", clock, (delayMicros, work) -> {
                     dueMicros = nowMicros + delayMicros;
@@ -42,8 +42,8 @@
                         if (wakesItself) {
                             wakeIn(0);
                         }
-                        nowMicros += tookMicros;
-                        return 10 * MILLI;
+                        nowMicros += stepDurationMicros;
+                        return 10 * MICROS_PER_MILLI;
                     }
                 };
         task.start();
@@ -58,32 +58,32 @@
     }
 
     @Test
-    void pausesInStepWithWhatItsStepTook() {
-        ScheduledTask task = started(2, false);
+    void pausesInProportionToTheStepDuration() {
+        ScheduledTask task = startTask(2, false);
         runPending();
-        assertEquals(nowMicros + 200 * MILLI, dueMicros);
+        assertEquals(nowMicros + 200 * MICROS_PER_MILLI, dueMicros);
         task.wakeIn(0);
-        assertEquals(nowMicros + 200 * MILLI, dueMicros, "an event does not shorten the pause");
-        tookMicros = MILLI;
+        assertEquals(nowMicros + 200 * MICROS_PER_MILLI, dueMicros, "wakeIn does not shorten the pause");
+        stepDurationMicros = MICROS_PER_MILLI;
         runPending();
-        assertEquals(nowMicros + 10 * MILLI, dueMicros, "quick steps come when they are due");
+        assertEquals(nowMicros + 10 * MICROS_PER_MILLI, dueMicros, "quick steps run when they are due");
     }
 
     @Test
-    void pausesAlsoWhenItWokeItselfAndNeverForLong() {
-        started(2, true);
+    void pausesAfterWakingItselfAndForAtMostTwoSeconds() {
+        startTask(2, true);
         runPending();
-        assertEquals(nowMicros + 200 * MILLI, dueMicros);
-        tookMicros = 30_000 * MILLI;
+        assertEquals(nowMicros + 200 * MICROS_PER_MILLI, dueMicros);
+        stepDurationMicros = 30_000 * MICROS_PER_MILLI;
         runPending();
-        assertEquals(nowMicros + 2_000 * MILLI, dueMicros);
+        assertEquals(nowMicros + 2_000 * MICROS_PER_MILLI, dueMicros);
     }
 
     @Test
-    void aTaskWithoutPauseFactorIsNotDelayed() {
-        ScheduledTask task = started(0, false);
+    void doesNotPauseWithoutPauseFactor() {
+        ScheduledTask task = startTask(0, false);
         runPending();
-        assertEquals(nowMicros + 10 * MILLI, dueMicros);
+        assertEquals(nowMicros + 10 * MICROS_PER_MILLI, dueMicros);
         task.wakeIn(0);
         assertEquals(nowMicros, dueMicros);
     }
--- a/src/test/java/org/weldcourse/settings/SettingsTest.java
+++ b/src/test/java/org/weldcourse/settings/SettingsTest.java
@@ -13,7 +13,7 @@
 import org.weldcourse.settings.Settings.ServiceLevelObjective;
 import org.weldcourse.settings.Settings.ServiceLevelObjective.Kind;
 
-/** Tests of {@link Settings}. */
+/** Tests of reading {@link Settings} and {@link OperatorSettings} from files. */
 class SettingsTest {
     private static final String FILE = String.join(
             "\n",
@@ -21,7 +21,7 @@
             "site = \"a\"",
             "api_addr = \"10.0.0.1:80\"",
             "back = \"10.0.0.1:81\"",
-            "unheard_of = [1, 2]",
+            "unknown_field = [1, 2]",
             "[[known]]",
             "host_name = \"n-2\"",
             "site = \"b\"",
@@ -60,7 +60,7 @@
             "max_sockets = 500");
 
     @Test
-    void readsWhatItKnowsAndIgnoresTheRest() throws Exception {
+    void readsKnownFieldsAndIgnoresUnknownFields() throws Exception {
         Settings settings = SettingsFile.parse(new StringReader(FILE));
         assertEquals(1_500_000, settings.workers().heartbeatIntervalMicros());
         assertEquals(10_000_000, settings.workers().leaseMicros());
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void keepsToTheSmallerOfTheLimitsOfNowAndOfThen() throws Exception {
+    void staysWithinCurrentAndUpcomingStoreLimits() throws Exception {
         Settings.StoreLimits state = SettingsFile.parse(new StringReader(FILE.replace(
                         "txn_ops = 8",
                         "txn_ops = 8\n[deployment.state.next]\nwrite_rps = 60.0\nvalue_kb = 2.0\ntxn_ops = 4")))
@@ -84,7 +84,7 @@
     }
 
     @Test
-    void namesWhatIsMissingOrInvalid() {
+    void errorMessageNamesMissingOrInvalidField() {
         for (String[] change : new String[][] {
             {"report_s = 1.5", "", "report_s"},
             {"report_s = 1.5", "report_s = 0", "report_s"},
@@ -116,7 +116,7 @@
     }
 
     @Test
-    void anErrorTellsItsFieldAndItsProblem() {
+    void errorHasFieldAndProblem() {
         for (Object[] change : new Object[][] {
             {"report_s = 1.5", "", "report_s", Problem.MISSING_OR_INVALID},
             {"report_s = 1.5", "report_s = 0", "report_s", Problem.OUT_OF_RANGE},
@@ -134,7 +134,7 @@
     }
 
     @Test
-    void objectivesAreReadByKindAndUnknownKindsAreLeftOut() throws Exception {
+    void readsObjectivesAndIgnoresUnknownKinds() throws Exception {
         ServiceLevelObjective deadline = new ServiceLevelObjective(Kind.DEADLINE, "c", 0, 0.9, 1.5);
         assertEquals(
                 List.of(deadline), SettingsFile.parse(new StringReader(FILE)).objectives());
@@ -155,7 +155,7 @@
     }
 
     @Test
-    void operatorsSettingsOverrideDefaults() throws Exception {
+    void operatorSettingsOverrideDefaults() throws Exception {
         OperatorSettings operatorSettings =
                 operatorSettings("<weldcourse><idle-hold-s>12.5</idle-hold-s></weldcourse>");
         assertEquals(12_500_000, operatorSettings.scaleInDelayMicros());
@@ -163,7 +163,7 @@
     }
 
     @Test
-    void operatorsSettingsAreChecked() {
+    void rejectsInvalidOperatorSettings() {
         for (String xml : new String[] {
             "<other/>",
             "<weldcourse><what>1</what></weldcourse>",
