--- a/src/main/java/org/weldcourse/app/CommandLineModel.java
+++ b/src/main/java/org/weldcourse/app/CommandLineModel.java
@@ -14,43 +14,44 @@
     private CommandLineModel() {}
 
     static CommandLine commandLine() {
-        return new CommandLine(main())
+        return new CommandLine(mainCommand())
                 .addSubcommand("check", command("check", "Checks the settings without starting a controller."))
-                .addSubcommand("limits", limits())
+                .addSubcommand("limits", limitsCommand())
                 .addSubcommand(
                         "warm-up",
-                        hidden("warm-up", "Loads the classes of a controller, for the class archive of the build."));
+                        hiddenCommand(
+                                "warm-up", "Loads the classes of a controller, for the class archive of the build."));
     }
 
-    private static CommandSpec limits() {
-        CommandSpec set =
-                command("set", "Changes a team's recorded limits; an option that is left out changes nothing.");
-        set.addPositional(name("TEAM", "The team's name in the settings file."));
-        set.addOption(amount("--cpus", "The guarantee in CPUs."));
-        set.addOption(amount("--gpus", "The guarantee in GPUs."));
-        set.addOption(option(
+    private static CommandSpec limitsCommand() {
+        CommandSpec setTeam =
+                command("set", "Changes a team's recorded limits; values that are not given remain unchanged.");
+        setTeam.addPositional(nameParameter("TEAM", "The team's name in the settings file."));
+        setTeam.addOption(numberOption("--cpus", "The guarantee in CPUs."));
+        setTeam.addOption(numberOption("--gpus", "The guarantee in GPUs."));
+        setTeam.addOption(option(
                 "--cohort", "NAME", String.class, "The cohort whose unused capacity the team may borrow, or none."));
-        addLimits(set);
+        addLimitOptions(setTeam);
         CommandSpec setCohort =
                 command("set-cohort", "Creates a cohort or changes the limits on its teams' total use.");
-        setCohort.addPositional(name("NAME", "The cohort's name."));
-        addLimits(setCohort);
+        setCohort.addPositional(nameParameter("NAME", "The cohort's name."));
+        addLimitOptions(setCohort);
         CommandSpec limits = command("limits", "Shows or changes the recorded limits.");
         limits.addSubcommand("show", command("show", "Prints all recorded limits."));
-        limits.addSubcommand("set", set);
+        limits.addSubcommand("set", setTeam);
         limits.addSubcommand("set-cohort", setCohort);
         return limits;
     }
 
-    private static void addLimits(CommandSpec set) {
-        set.addOption(amount("--cpus-max", "The limit in CPUs; 0 means no limit."));
-        set.addOption(amount("--gpus-max", "The limit in GPUs; 0 means no limit."));
+    private static void addLimitOptions(CommandSpec command) {
+        command.addOption(numberOption("--cpus-max", "The limit in CPUs; 0 means no limit."));
+        command.addOption(numberOption("--gpus-max", "The limit in GPUs; 0 means no limit."));
         String overDescription =
                 "Tasks above the limit: drain (they run to completion) or displace (they are stopped).";
-        set.addOption(option("--over", "POLICY", String.class, overDescription));
+        command.addOption(option("--over", "POLICY", String.class, overDescription));
     }
 
-    private static PositionalParamSpec name(String label, String description) {
+    private static PositionalParamSpec nameParameter(String label, String description) {
         return PositionalParamSpec.builder()
                 .paramLabel(label)
                 .index("0")
@@ -60,7 +61,7 @@
                 .build();
     }
 
-    private static OptionSpec amount(String name, String description) {
+    private static OptionSpec numberOption(String name, String description) {
         return option(name, "NUMBER", Double.class, description);
     }
 
@@ -72,7 +73,7 @@
                 .build();
     }
 
-    private static CommandSpec main() {
+    private static CommandSpec mainCommand() {
         return command("weldcourse", "Runs one controller of a weldcourse cluster.")
                 .version("weldcourse " + Main.VERSION)
                 .addOption(OptionSpec.builder("-V", "--version")
@@ -103,7 +104,7 @@
         return spec;
     }
 
-    private static CommandSpec hidden(String name, String description) {
+    private static CommandSpec hiddenCommand(String name, String description) {
         CommandSpec spec = command(name, description);
         spec.usageMessage().hidden(true);
         return spec;
--- a/src/main/java/org/weldcourse/app/MetricsText.java
+++ b/src/main/java/org/weldcourse/app/MetricsText.java
@@ -16,7 +16,7 @@
                 .append(PREFIX)
                 .append(name)
                 .append(' ')
-                .append(number(value))
+                .append(formatValue(value))
                 .append('\n');
         return this;
     }
@@ -27,9 +27,9 @@
                 .append(PREFIX)
                 .append(name)
                 .append("{team=\"")
-                .append(escaped(team))
+                .append(escapeLabel(team))
                 .append("\"} ")
-                .append(number(value))
+                .append(formatValue(value))
                 .append('\n');
         return this;
     }
@@ -42,11 +42,11 @@
         });
     }
 
-    private static String number(double value) {
+    private static String formatValue(double value) {
         return value == Double.POSITIVE_INFINITY ? "+Inf" : Double.toString(value);
     }
 
-    private static String escaped(String label) {
+    private static String escapeLabel(String label) {
         return label.replace("\\", "\\\\").replace("\"", "\\\"").replace("\n", "\\n");
     }
 
--- a/src/main/java/org/weldcourse/app/WarmUp.java
+++ b/src/main/java/org/weldcourse/app/WarmUp.java
@@ -90,7 +90,7 @@
     }
 
     static void run(PortFinder ports) throws Exception {
-        for (int attempt = 1; !attempt(ports); attempt++) {
+        for (int attempt = 1; !tryRun(ports); attempt++) {
             if (attempt == MAX_ATTEMPTS) {
                 throw new BindException("no free port after " + MAX_ATTEMPTS + " attempts");
             }
@@ -98,7 +98,7 @@
     }
 
     /** Returns false if another process took one of the ports. */
-    private static boolean attempt(PortFinder ports) throws Exception {
+    private static boolean tryRun(PortFinder ports) throws Exception {
         int apiPort = ports.findFreePort();
         int servicesPort = ports.findFreePort();
         EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
