--- a/src/main/java/org/weldcourse/app/Node.java
+++ b/src/main/java/org/weldcourse/app/Node.java
@@ -64,8 +64,8 @@
     }
 
     /**
-     * The maximum number of idle outbound connections: all sockets that inbound connections leave free, because reusing
-     * a connection is cheaper than opening one.
+     * The maximum number of idle outbound connections: all sockets that inbound connections leave free, and at least
+     * {@link Settings#reservedIdleSockets}, because reusing a connection is cheaper than opening one.
      */
     private int maxIdleSockets() {
         int free = settings.maxSockets() - settings.outboundSockets() - server.openConnections();
--- a/src/main/java/org/weldcourse/runtime/ScheduledTask.java
+++ b/src/main/java/org/weldcourse/runtime/ScheduledTask.java
@@ -105,12 +105,12 @@
         }
         long startedMicros = clock.nowMicros();
         lateMicros = startedMicros - dueMicros;
-        long pauseMicros;
+        long delayMicros;
         try {
-            pauseMicros = step();
+            delayMicros = step();
         } catch (RuntimeException unexpected) {
             LOG.error("{}: unexpected error, the task continues after a pause", name, unexpected);
-            pauseMicros = PAUSE_AFTER_ERROR_MICROS;
+            delayMicros = PAUSE_AFTER_ERROR_MICROS;
         }
         long finishedMicros = clock.nowMicros();
         pausedUntilMicros =
@@ -121,8 +121,8 @@
             nextTimer = null;
             wakeIn(0);
         }
-        if (pauseMicros >= 0) {
-            wakeIn(pauseMicros);
+        if (delayMicros >= 0) {
+            wakeIn(delayMicros);
         }
     }
 }
--- a/src/main/java/org/weldcourse/settings/OperatorSettings.java
+++ b/src/main/java/org/weldcourse/settings/OperatorSettings.java
@@ -65,7 +65,7 @@
             throw invalid(
                     Problem.MALFORMED,
                     "",
-                    "malformed XML, line " + malformed.getLocation().getLineNumber());
+                    "invalid XML, line " + malformed.getLocation().getLineNumber());
         }
     }
 
