--- a/src/main/java/org/weldcourse/app/CommandLineModel.java
+++ b/src/main/java/org/weldcourse/app/CommandLineModel.java
@@ -7,44 +7,51 @@
 import picocli.CommandLine.Model.PositionalParamSpec;
 
 /**
- * The commands and their options. They are described to picocli in calls rather than annotations: a controller's start
- * is charged to its small share of a core, and reading annotations by reflection was a good part of it.
+ * Defines the commands and their options through picocli's programmatic API. Annotations are not used: reading them by
+ * reflection took a considerable part of the startup time, and a controller has only a small share of a CPU core.
  */
 final class CommandLineModel {
     private CommandLineModel() {}
 
     static CommandLine commandLine() {
-        return new CommandLine(main())
-                .addSubcommand("check", command("check", "Checks the settings and ends without starting anything."))
-                .addSubcommand("limits", limits())
-                .addSubcommand("warm-up", hidden("warm-up", "Loads what a controller needs, for the build."));
+        return new CommandLine(mainCommand())
+                .addSubcommand("check", command("check", "Checks the settings without starting a controller."))
+                .addSubcommand("limits", limitsCommand())
+                .addSubcommand(
+                        "warm-up",
+                        hiddenCommand(
+                                "warm-up", "Loads the classes of a controller, for the class archive of the build."));
     }
 
-    private static CommandSpec limits() {
-        CommandSpec set = command("set", "Changes a team's limit on record; what is not named stays as it is.");
-        set.addPositional(name("TEAM", "The team, as in the settings."));
-        set.addOption(amount("--cpus", "The guarantee in CPUs."));
-        set.addOption(amount("--gpus", "The guarantee in GPUs."));
-        set.addOption(option("--cohort", "NAME", String.class, "The cohort that the team borrows in, or none."));
-        addLimits(set);
-        CommandSpec setCohort = command("set-cohort", "Changes or creates a cohort: what its teams may use together.");
-        setCohort.addPositional(name("NAME", "The cohort."));
-        addLimits(setCohort);
-        CommandSpec limits = command("limits", "Shows or changes the limits on record.");
-        limits.addSubcommand("show", command("show", "Prints every limit."));
-        limits.addSubcommand("set", set);
+    private static CommandSpec limitsCommand() {
+        CommandSpec setTeam =
+                command("set", "Changes a team's recorded limits; values that are not given remain unchanged.");
+        setTeam.addPositional(nameParameter("TEAM", "The team's name in the settings file."));
+        setTeam.addOption(numberOption("--cpus", "The guarantee in CPUs."));
+        setTeam.addOption(numberOption("--gpus", "The guarantee in GPUs."));
+        setTeam.addOption(option(
+                "--cohort", "NAME", String.class, "The cohort whose unused capacity the team may borrow, or none."));
+        addLimitOptions(setTeam);
+        CommandSpec setCohort =
+                command("set-cohort", "Creates a cohort or changes the limits on its teams' total use.");
+        setCohort.addPositional(nameParameter("NAME", "The cohort's name."));
+        addLimitOptions(setCohort);
+        CommandSpec limits = command("limits", "Shows or changes the recorded limits.");
+        limits.addSubcommand("show", command("show", "Prints all recorded limits."));
+        limits.addSubcommand("set", setTeam);
         limits.addSubcommand("set-cohort", setCohort);
         return limits;
     }
 
-    private static void addLimits(CommandSpec set) {
-        set.addOption(amount("--cpus-max", "The limit in CPUs; 0 for none."));
-        set.addOption(amount("--gpus-max", "The limit in GPUs; 0 for none."));
-        String policies = "What is over the limit: drain (runs to its end) or displace (is stopped).";
-        set.addOption(option("--over", "POLICY", String.class, policies));
+    private static void addLimitOptions(CommandSpec command) {
+        command.addOption(numberOption("--cpus-max", "The limit in CPUs; 0 means no limit."));
+        command.addOption(numberOption("--gpus-max", "The limit in GPUs; 0 means no limit."));
+        String overDescription =
+                "Tasks above the limit: drain (they run to completion) or displace (they are stopped).";
+        command.addOption(option("--over", "POLICY", String.class, overDescription));
     }
 
-    private static PositionalParamSpec name(String label, String description) {
+    private static PositionalParamSpec nameParameter(String label, String description) {
         return PositionalParamSpec.builder()
                 .paramLabel(label)
                 .index("0")
@@ -54,7 +61,7 @@
                 .build();
     }
 
-    private static OptionSpec amount(String name, String description) {
+    private static OptionSpec numberOption(String name, String description) {
         return option(name, "NUMBER", Double.class, description);
     }
 
@@ -66,12 +73,12 @@
                 .build();
     }
 
-    private static CommandSpec main() {
+    private static CommandSpec mainCommand() {
         return command("weldcourse", "Runs one controller of a weldcourse cluster.")
                 .version("weldcourse " + Main.VERSION)
                 .addOption(OptionSpec.builder("-V", "--version")
                         .versionHelp(true)
-                        .description("Print the version and end.")
+                        .description("Print the version and exit.")
                         .build());
     }
 
@@ -86,17 +93,18 @@
                 .addOption(OptionSpec.builder("--operators")
                         .paramLabel("FILE")
                         .type(Path.class)
-                        .description("Operators' own settings (XML); what is left out keeps its default.")
+                        .description(
+                                "The operators' settings file (XML); settings that are left out keep their defaults.")
                         .build())
                 .addOption(OptionSpec.builder("-h", "--help")
                         .usageHelp(true)
-                        .description("Print this help and end.")
+                        .description("Print this help and exit.")
                         .build());
         spec.usageMessage().description(description);
         return spec;
     }
 
-    private static CommandSpec hidden(String name, String description) {
+    private static CommandSpec hiddenCommand(String name, String description) {
         CommandSpec spec = command(name, description);
         spec.usageMessage().hidden(true);
         return spec;
