--- a/src/test/java/org/weldcourse/app/PackagedTest.java
+++ b/src/test/java/org/weldcourse/app/PackagedTest.java
@@ -18,32 +18,35 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.weldcourse.simulation.DeployedProgram;
 
-/** What was packaged, started as {@code deploy/service.toml} says; runs after the package is made. */
+/**
+ * Guards against a packaged program that does not start with the command of {@code deploy/service.toml}, or that loads
+ * its classes without the class archive. Runs after packaging.
+ */
 class PackagedTest {
     private static final String ARCHIVE = "target/weldcourse.jsa";
-    /** What can't be archived: classes made while running (proxies, method handle forms), and the log's own. */
-    private static final int MOST_FROM_ELSEWHERE = 40;
+    /** Classes generated at run time (proxies, method handle forms) and those of the log can't be archived. */
+    private static final int MAX_CLASSES_OUTSIDE_ARCHIVE = 40;
 
-    private static final int ENDED = -1;
+    private static final int EXITED = -1;
 
     @TempDir
-    private Path dir;
+    private Path directory;
 
     @Test
-    void mostClassesOfAStartComeFromTheArchiveOfTheBuild() throws Exception {
-        Origins origins = origins(ARCHIVE);
-        assertTrue(origins.elsewhere * 2 < origins.all, origins.toString());
+    void mostClassesAreLoadedFromTheArchiveOfTheBuild() throws Exception {
+        LoadedClasses loadedClasses = loadedClasses(ARCHIVE);
+        assertTrue(loadedClasses.outsideArchive * 2 < loadedClasses.all, loadedClasses.toString());
     }
 
     /**
-     * The warm-up listens on ports that were free a moment before. On a busy machine another program may have taken one,
-     * and the build then goes on with what was loaded until there; here it is tried again, so that the verdict is the same.
+     * The warm-up listens on ports that were free shortly before. When another program takes one in the meantime, the
+     * build archives the classes loaded so far. This test repeats the warm-up instead, to be deterministic.
      */
     @Test
-    void nearlyAllClassesComeFromAnArchiveOfAWholeWarmUp() throws Exception {
-        Path list = dir.resolve("classes.lst");
+    void nearlyAllClassesAreLoadedFromTheArchiveOfACompleteWarmUp() throws Exception {
+        Path list = directory.resolve("classes.lst");
         int tries = 0;
-        while (ended(List.of(
+        while (exitStatus(List.of(
                         "java",
                         "-Xshare:off",
                         "-XX:DumpLoadedClassList=" + list,
@@ -53,12 +56,12 @@
                         "target/weldcourse.jar",
                         "warm-up"))
                 != 0) {
-            assertTrue(++tries < 10, "the warm-up ends early each time");
+            assertTrue(++tries < 10, "every attempt of the warm-up failed");
         }
-        Path archive = dir.resolve("whole.jsa");
+        Path archive = directory.resolve("complete.jsa");
         assertEquals(
                 0,
-                ended(List.of(
+                exitStatus(List.of(
                         "java",
                         "-Xshare:dump",
                         "-XX:SharedClassListFile=" + list,
@@ -67,46 +70,49 @@
                         "-Xlog:disable",
                         "-jar",
                         "target/weldcourse.jar")));
-        Origins origins = origins(archive.toString());
-        assertTrue(origins.all > 1_000 && origins.elsewhere <= MOST_FROM_ELSEWHERE, origins.toString());
+        LoadedClasses loadedClasses = loadedClasses(archive.toString());
+        assertTrue(
+                loadedClasses.all > 1_000 && loadedClasses.outsideArchive <= MAX_CLASSES_OUTSIDE_ARCHIVE,
+                loadedClasses.toString());
     }
 
     @Test
-    void aMissingArchiveStopsNoStart() throws Exception {
+    void controllerStartsWithoutAnArchive() throws Exception {
         assertEquals(
                 503,
-                started(DeployedProgram.command(
-                        flag -> flag.replace(ARCHIVE, dir.resolve("none.jsa").toString()))));
+                readyStatus(DeployedProgram.command(flag ->
+                        flag.replace(ARCHIVE, directory.resolve("none.jsa").toString()))));
     }
 
     @Test
-    void aDamagedArchiveStopsNoStart() throws Exception {
-        // One that is torn in the middle would end the process: the build moves it into place when it is whole.
-        Path empty = Files.createFile(dir.resolve("empty.jsa"));
-        assertEquals(503, started(DeployedProgram.command(flag -> flag.replace(ARCHIVE, empty.toString()))));
+    void controllerStartsWithADamagedArchive() throws Exception {
+        // A truncated archive would end the process, which the build prevents: it moves a complete archive into
+        // place.
+        Path empty = Files.createFile(directory.resolve("empty.jsa"));
+        assertEquals(503, readyStatus(DeployedProgram.command(flag -> flag.replace(ARCHIVE, empty.toString()))));
         byte[] bytes = Files.readAllBytes(Path.of(ARCHIVE));
         Arrays.fill(bytes, 0, 4_096, (byte) 7);
-        Path foreign = dir.resolve("foreign.jsa");
+        Path foreign = directory.resolve("foreign.jsa");
         Files.write(foreign, bytes);
-        assertEquals(503, started(DeployedProgram.command(flag -> flag.replace(ARCHIVE, foreign.toString()))));
+        assertEquals(503, readyStatus(DeployedProgram.command(flag -> flag.replace(ARCHIVE, foreign.toString()))));
     }
 
-    private record Origins(int all, int elsewhere) {}
+    private record LoadedClasses(int all, int outsideArchive) {}
 
-    private Origins origins(String archive) throws Exception {
-        Path classes = dir.resolve("loaded.txt");
+    private LoadedClasses loadedClasses(String archive) throws Exception {
+        Path classes = directory.resolve("loaded.txt");
         assertEquals(
                 503,
-                started(DeployedProgram.command(flag -> flag.equals("-Xlog:disable")
+                readyStatus(DeployedProgram.command(flag -> flag.equals("-Xlog:disable")
                         ? "-Xlog:class+load:file=" + classes
                         : flag.replace(ARCHIVE, archive))));
         List<String> all = Files.readAllLines(classes);
-        return new Origins(all.size(), (int) all.stream()
+        return new LoadedClasses(all.size(), (int) all.stream()
                 .filter(line -> !line.contains("shared objects file"))
                 .count());
     }
 
-    private static int ended(List<String> command) throws Exception {
+    private static int exitStatus(List<String> command) throws Exception {
         Process process = new ProcessBuilder(command)
                 .redirectErrorStream(true)
                 .redirectOutput(ProcessBuilder.Redirect.DISCARD)
@@ -114,22 +120,22 @@
         return process.waitFor();
     }
 
-    /** Starts a controller whose services are out of reach, and hands back what it answers to {@code /ready}. */
-    private int started(List<String> command) throws Exception {
+    /** Starts a controller whose services are unreachable, and returns the status of its answer to {@code /ready}. */
+    private int readyStatus(List<String> command) throws Exception {
         for (int tries = 1; ; tries++) {
-            // A port that was free a moment ago may be taken by now.
-            int ready = startedOnce(new ArrayList<>(command));
-            if (ready != ENDED) {
+            // Another program may have taken a port since it was found free.
+            int ready = readyStatusOfOneStart(new ArrayList<>(command));
+            if (ready != EXITED) {
                 return ready;
             }
-            assertTrue(tries < 5, "it ends each time");
+            assertTrue(tries < 5, "the process exited on every attempt");
         }
     }
 
-    private int startedOnce(List<String> command) throws Exception {
+    private int readyStatusOfOneStart(List<String> command) throws Exception {
         int api = DeployedProgram.freePort();
         Path settings = Files.writeString(
-                dir.resolve("settings.toml"),
+                directory.resolve("settings.toml"),
                 WarmUp.settingsText(api, DeployedProgram.freePort(), DeployedProgram.freePort()));
         command.add(settings.toString());
         Process process = new ProcessBuilder(command).redirectErrorStream(true).start();
@@ -139,7 +145,7 @@
                 line = out.readLine();
             }
             if (line == null) {
-                return ENDED;
+                return EXITED;
             }
             HttpRequest ready = HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + api + "/ready"))
                     .build();
--- a/src/test/java/org/weldcourse/app/ProcessMetricsTest.java
+++ b/src/test/java/org/weldcourse/app/ProcessMetricsTest.java
@@ -4,10 +4,10 @@
 
 import org.junit.jupiter.api.Test;
 
-/** What the process says of its own load. */
+/** Guards against a load summary that omits or repeats an earlier maximum lateness of background tasks. */
 class ProcessMetricsTest {
     @Test
-    void tellsTheWorstSinceItWasLastAsked() {
+    void summaryReportsTheMaximumSinceThePreviousSummary() {
         ProcessMetrics metrics = new ProcessMetrics();
         metrics.recordLateness(20_000);
         metrics.recordLateness(350_000);
--- a/src/test/java/org/weldcourse/app/RandomFaultsTest.java
+++ b/src/test/java/org/weldcourse/app/RandomFaultsTest.java
@@ -20,18 +20,19 @@
 import org.weldcourse.simulation.SimulatedCluster;
 
 /**
- * Random days on the scripted world, with every team at its limit and two or three troubles at any moment. The world fails a
- * day on which a rule breaks; each day also has to end with every accepted job over.
+ * Guards against broken invariants and jobs that never end when several random faults coincide while every team is at
+ * its limit. The simulated cluster fails a run in which an invariant breaks; each run must also end with every
+ * accepted job over.
  */
 class RandomFaultsTest {
-    private static final int SEEDS = Integer.getInteger("weldcourse.fault-seeds", 60);
-    private static final int FROM = Integer.getInteger("weldcourse.first-fault-seed", 0);
+    private static final int SEED_COUNT = Integer.getInteger("weldcourse.fault-seeds", 60);
+    private static final int FIRST_SEED = Integer.getInteger("weldcourse.first-fault-seed", 0);
     private static final int NODES = 3;
     private static final int EVENTS = 90;
-    private static final int MOST_OPEN_JOBS = 40;
-    private static final long MOST_EVENT_GAP_MICROS = 1_200_000;
-    /** Longer than any task runs: without a start or an end in this time, something waits for ever. */
-    private static final int MOST_IDLE_SECONDS = 90;
+    private static final int MAX_OPEN_JOBS = 40;
+    private static final long MAX_EVENT_GAP_MICROS = 1_200_000;
+    /** Longer than any task runs: when no task starts and no job ends in this time, a job is stuck. */
+    private static final int MAX_IDLE_SECONDS = 90;
 
     private static final List<Settings.Team> TEAMS = List.of(
             new Settings.Team("core", 4, 16, 0, 0),
@@ -41,328 +42,330 @@
     private static final List<String> TEAM_NAMES =
             TEAMS.stream().map(Settings.Team::name).toList();
 
-    /** What can go wrong, each as often as it stands in a list of its weight. */
+    /** The faults that a run injects, each with the same probability. */
     private enum Fault {
         NODE_KILLED,
-        NODE_BACK_AT_ONCE,
+        NODE_RESTARTED,
         LEADER_KILLED,
         ALL_NODES_KILLED,
         NODE_PAUSED,
-        STATE_CUT,
-        STATE_REFUSES_ONE,
-        STATE_OUT,
-        STATE_SLOW,
-        PEERS_CUT,
-        ANSWERS_LOST,
+        STORE_UNREACHABLE,
+        STORE_REFUSES_NODE,
+        STORE_DOWN,
+        STORE_SLOW,
+        PEERS_UNREACHABLE,
+        RESPONSES_LOST,
         CLOUD_DOWN,
-        MACHINE_HANGS,
-        MACHINE_DEAF,
-        MACHINE_MUTE,
-        MACHINE_CUT,
+        MACHINE_HUNG,
+        MACHINE_CANNOT_RECEIVE,
+        MACHINE_CANNOT_SEND,
+        MACHINE_UNREACHABLE,
         MACHINE_RESTARTED,
-        MACHINE_NOTICE,
+        MACHINE_PREEMPTION_NOTICE,
         STALE_HEARTBEAT
     }
 
-    private static final class Day {
+    private static final class FaultRun {
         private final Random random;
-        private final SimulatedCluster world;
-        private final Map<Fault, Integer> happened;
+        private final SimulatedCluster cluster;
+        private final Map<Fault, Integer> injectedFaults;
         private final Map<String, Map<String, Object>> accepted = new LinkedHashMap<>();
-        private final List<String> endless = new ArrayList<>();
-        private final List<String> down = new ArrayList<>();
-        /** The state service takes little at once and tasks are small, so that jobs have many tasks and several records. */
-        private final boolean small;
+        private final List<String> endlessJobs = new ArrayList<>();
+        private final List<String> killedNodes = new ArrayList<>();
+        /** Whether the store has low limits and tasks are small, so that jobs have many tasks and several records. */
+        private final boolean smallRecords;
 
-        private int submitted;
+        private int submittedJobs;
 
-        Day(long seed, OperatorSettings.TeamLimitSource limits, Map<Fault, Integer> happened) {
+        FaultRun(long seed, OperatorSettings.TeamLimitSource limits, Map<Fault, Integer> injectedFaults) {
             random = new Random(seed);
-            small = seed % 2 == 1;
-            world = small
+            smallRecords = seed % 2 == 1;
+            cluster = smallRecords
                     ? new SimulatedCluster(NODES, 4 + (int) (seed / 2 % 5), 640 + (int) (seed % 7) * 300, TEAMS, limits)
                     : new SimulatedCluster(NODES, 16, 32 * 1024, TEAMS, limits);
-            world.cloud.capacity = 3 + (int) (seed % 11);
-            this.happened = happened;
+            cluster.cloud.capacity = 3 + (int) (seed % 11);
+            this.injectedFaults = injectedFaults;
         }
 
-        int starts() {
-            return world.starts.values().stream().mapToInt(Integer::intValue).sum();
+        int totalStarts() {
+            return cluster.starts.values().stream().mapToInt(Integer::intValue).sum();
         }
 
-        void play() {
-            world.clock.passSeconds(8);
-            world.network.injectFaults((from, call) -> fate(call.path()));
+        void run() {
+            cluster.clock.passSeconds(8);
+            cluster.network.injectFaults((from, call) -> messageFault(call.path()));
             for (int i = 0; i < EVENTS; i++) {
-                work();
+                submitOrCancel();
                 if (random.nextInt(3) == 0) {
-                    trouble(Fault.values()[random.nextInt(Fault.values().length)]);
+                    inject(Fault.values()[random.nextInt(Fault.values().length)]);
                 }
-                world.clock.pass(random.nextInt((int) MOST_EVENT_GAP_MICROS));
+                cluster.clock.pass(random.nextInt((int) MAX_EVENT_GAP_MICROS));
             }
-            recover();
+            healAndAwaitJobs();
         }
 
-        private long fate(String path) {
-            int dice = random.nextInt(300);
-            if (path.startsWith("/watch") || dice > 3) {
+        private long messageFault(String path) {
+            int draw = random.nextInt(300);
+            if (path.startsWith("/watch") || draw > 3) {
                 return FakeNetwork.NORMAL;
             }
-            return switch (dice) {
+            return switch (draw) {
                 case 0 -> FakeNetwork.RESPONSE_LOST;
                 case 1 -> FakeNetwork.responseDelayedBy(random.nextInt(3_000_000));
                 default -> 2_000_000 + random.nextInt(14_000_000);
             };
         }
 
-        private String node() {
-            return world.alive().isEmpty()
+        private String randomNode() {
+            return cluster.alive().isEmpty()
                     ? null
-                    : world.alive().get(random.nextInt(world.alive().size()));
+                    : cluster.alive().get(random.nextInt(cluster.alive().size()));
         }
 
-        private void work() {
-            String node = node();
+        private void submitOrCancel() {
+            String node = randomNode();
             if (node == null) {
                 return;
             }
             if (random.nextInt(6) == 0 && !accepted.isEmpty()) {
                 String id = new ArrayList<>(accepted.keySet()).get(random.nextInt(accepted.size()));
-                world.cancelAsync(node, id);
-            } else if (world.store.keys("open/").size() < MOST_OPEN_JOBS) {
+                cluster.cancelAsync(node, id);
+            } else if (cluster.store.keys("open/").size() < MAX_OPEN_JOBS) {
                 submit(node);
             }
         }
 
         private void submit(String node) {
-            String id = String.format("req-%06d", ++submitted);
-            Map<String, Object> body = RandomJob.body(random, id, TEAM_NAMES, small);
-            if (RandomJob.drawTimes(random, world.invariants(), body, 500_000, 25_000_000, 2_000_000)) {
-                endless.add(id);
+            String id = String.format("req-%06d", ++submittedJobs);
+            Map<String, Object> body = RandomJob.body(random, id, TEAM_NAMES, smallRecords);
+            if (RandomJob.drawTimes(random, cluster.invariants(), body, 500_000, 25_000_000, 2_000_000)) {
+                endlessJobs.add(id);
             }
-            world.submitAsync(node, body, answer -> {
+            cluster.submitAsync(node, body, answer -> {
                 if (answer.status() == 200 || answer.status() == 201) {
                     accepted.put(id, body);
                 }
             });
         }
 
-        private void soon(int leastMicros, int mostMicros, Runnable work) {
-            world.clock.after(leastMicros + random.nextInt(mostMicros - leastMicros), work);
+        private void schedule(int minDelayMicros, int maxDelayMicros, Runnable action) {
+            cluster.clock.after(minDelayMicros + random.nextInt(maxDelayMicros - minDelayMicros), action);
         }
 
-        private void trouble(Fault fault) {
-            boolean took =
+        private void inject(Fault fault) {
+            boolean injected =
                     switch (fault) {
-                        case NODE_KILLED -> kill(node(), 2_000_000, 20_000_000);
-                        case NODE_BACK_AT_ONCE -> kill(node(), 1, 500_000);
-                        case LEADER_KILLED -> kill(world.leader(), 200_000, 15_000_000);
-                        case ALL_NODES_KILLED -> killAll();
-                        case NODE_PAUSED -> pause(random.nextBoolean() ? world.leader() : node());
-                        case STATE_CUT, STATE_REFUSES_ONE, PEERS_CUT, ANSWERS_LOST ->
-                            isolate(fault, random.nextBoolean() ? world.leader() : node());
-                        case STATE_OUT -> {
-                            world.store.down(true);
-                            soon(1_000_000, 12_000_000, () -> world.store.down(false));
+                        case NODE_KILLED -> killAndRestart(randomNode(), 2_000_000, 20_000_000);
+                        case NODE_RESTARTED -> killAndRestart(randomNode(), 1, 500_000);
+                        case LEADER_KILLED -> killAndRestart(cluster.leader(), 200_000, 15_000_000);
+                        case ALL_NODES_KILLED -> killAndRestartAll();
+                        case NODE_PAUSED -> pauseForAWhile(random.nextBoolean() ? cluster.leader() : randomNode());
+                        case STORE_UNREACHABLE, STORE_REFUSES_NODE, PEERS_UNREACHABLE, RESPONSES_LOST ->
+                            disruptConnections(fault, random.nextBoolean() ? cluster.leader() : randomNode());
+                        case STORE_DOWN -> {
+                            cluster.store.down(true);
+                            schedule(1_000_000, 12_000_000, () -> cluster.store.down(false));
                             yield true;
                         }
-                        case STATE_SLOW -> {
-                            world.slowStore(300_000 + random.nextInt(2_000_000));
-                            soon(1_000_000, 12_000_000, () -> world.slowStore(0));
+                        case STORE_SLOW -> {
+                            cluster.slowStore(300_000 + random.nextInt(2_000_000));
+                            schedule(1_000_000, 12_000_000, () -> cluster.slowStore(0));
                             yield true;
                         }
                         case CLOUD_DOWN -> {
-                            world.cloud.down(true);
-                            soon(2_000_000, 25_000_000, () -> world.cloud.down(false));
+                            cluster.cloud.down(true);
+                            schedule(2_000_000, 25_000_000, () -> cluster.cloud.down(false));
                             yield true;
                         }
-                        default -> troubleMachines(fault);
+                        default -> injectIntoMachines(fault);
                     };
-            happened.merge(fault, took ? 1 : 0, Integer::sum);
+            injectedFaults.merge(fault, injected ? 1 : 0, Integer::sum);
         }
 
-        private boolean kill(String node, int leastMicros, int mostMicros) {
-            if (node == null || down.contains(node)) {
+        private boolean killAndRestart(String node, int minDelayMicros, int maxDelayMicros) {
+            if (node == null || killedNodes.contains(node)) {
                 return false;
             }
-            world.resumeNode(node);
-            world.killNode(node);
-            down.add(node);
-            soon(leastMicros, mostMicros, () -> back(node));
+            cluster.resumeNode(node);
+            cluster.killNode(node);
+            killedNodes.add(node);
+            schedule(minDelayMicros, maxDelayMicros, () -> restart(node));
             return true;
         }
 
-        private void back(String node) {
-            if (down.remove(node)) {
-                world.startNode(node);
+        private void restart(String node) {
+            if (killedNodes.remove(node)) {
+                cluster.startNode(node);
             }
         }
 
-        private boolean killAll() {
-            boolean some = !world.alive().isEmpty();
-            new ArrayList<>(world.alive()).forEach(node -> kill(node, 100_000, 16_000_000));
-            return some;
+        private boolean killAndRestartAll() {
+            boolean anyAlive = !cluster.alive().isEmpty();
+            new ArrayList<>(cluster.alive()).forEach(node -> killAndRestart(node, 100_000, 16_000_000));
+            return anyAlive;
         }
 
-        private boolean pause(String node) {
+        private boolean pauseForAWhile(String node) {
             if (node == null) {
                 return false;
             }
-            world.pauseNode(node);
-            soon(200_000, 14_000_000, () -> {
-                if (world.alive().contains(node)) {
-                    world.resumeNode(node);
+            cluster.pauseNode(node);
+            schedule(200_000, 14_000_000, () -> {
+                if (cluster.alive().contains(node)) {
+                    cluster.resumeNode(node);
                 }
             });
             return true;
         }
 
-        private boolean isolate(Fault fault, String node) {
+        private boolean disruptConnections(Fault fault, String node) {
             if (node == null) {
                 return false;
             }
             switch (fault) {
-                case STATE_CUT -> world.cutFromStore(node);
-                case STATE_REFUSES_ONE -> world.refuseStore(node, true);
-                case PEERS_CUT -> {
-                    world.cutFromPeers(node);
-                    world.cutFromStore(node);
+                case STORE_UNREACHABLE -> cluster.cutFromStore(node);
+                case STORE_REFUSES_NODE -> cluster.refuseStore(node, true);
+                case PEERS_UNREACHABLE -> {
+                    cluster.cutFromPeers(node);
+                    cluster.cutFromStore(node);
                 }
-                default -> world.loseResponses(node, true);
+                default -> cluster.loseResponses(node, true);
             }
-            soon(1_000_000, 30_000_000, () -> heal(node));
+            schedule(1_000_000, 30_000_000, () -> restoreConnections(node));
             return true;
         }
 
-        private void heal(String node) {
-            world.healStoreLink(node);
-            world.refuseStore(node, false);
-            world.healPeerLinks(node);
-            world.loseResponses(node, false);
+        private void restoreConnections(String node) {
+            cluster.healStoreLink(node);
+            cluster.refuseStore(node, false);
+            cluster.healPeerLinks(node);
+            cluster.loseResponses(node, false);
         }
 
-        private boolean troubleMachines(Fault fault) {
-            List<String> names = new ArrayList<>(world.workers.keySet());
-            int most = Math.min(names.size(), 1 + random.nextInt(3));
-            for (int i = 0; i < most; i++) {
-                trouble(fault, names.remove(random.nextInt(names.size())));
+        private boolean injectIntoMachines(Fault fault) {
+            List<String> names = new ArrayList<>(cluster.workers.keySet());
+            int machineCount = Math.min(names.size(), 1 + random.nextInt(3));
+            for (int i = 0; i < machineCount; i++) {
+                injectIntoMachine(fault, names.remove(random.nextInt(names.size())));
             }
-            return most > 0;
+            return machineCount > 0;
         }
 
-        private void trouble(Fault fault, String machine) {
-            FakeWorker worker = world.workers.get(machine);
+        private void injectIntoMachine(Fault fault, String machine) {
+            FakeWorker worker = cluster.workers.get(machine);
             switch (fault) {
-                case MACHINE_HANGS -> {
+                case MACHINE_HUNG -> {
                     worker.freeze(true);
-                    soon(500_000, 16_000_000, () -> worker.freeze(false));
+                    schedule(500_000, 16_000_000, () -> worker.freeze(false));
                 }
-                case MACHINE_DEAF -> {
-                    world.cutResponsesAndCommands(machine);
-                    soon(1_000_000, 25_000_000, () -> world.heal(machine));
+                case MACHINE_CANNOT_RECEIVE -> {
+                    cluster.cutResponsesAndCommands(machine);
+                    schedule(1_000_000, 25_000_000, () -> cluster.heal(machine));
                 }
-                case MACHINE_MUTE -> {
-                    world.cutHeartbeats(machine);
-                    soon(1_000_000, 25_000_000, () -> world.heal(machine));
+                case MACHINE_CANNOT_SEND -> {
+                    cluster.cutHeartbeats(machine);
+                    schedule(1_000_000, 25_000_000, () -> cluster.heal(machine));
                 }
-                case MACHINE_CUT -> {
-                    world.cutHeartbeats(machine);
-                    world.cutResponsesAndCommands(machine);
-                    soon(1_000_000, 25_000_000, () -> world.heal(machine));
+                case MACHINE_UNREACHABLE -> {
+                    cluster.cutHeartbeats(machine);
+                    cluster.cutResponsesAndCommands(machine);
+                    schedule(1_000_000, 25_000_000, () -> cluster.heal(machine));
                 }
-                case MACHINE_RESTARTED -> world.restartMachine(machine);
-                case MACHINE_NOTICE -> worker.announcePreemption(5_000_000 + random.nextInt(10_000_000));
+                case MACHINE_RESTARTED -> cluster.restartMachine(machine);
+                case MACHINE_PREEMPTION_NOTICE -> worker.announcePreemption(5_000_000 + random.nextInt(10_000_000));
                 default -> replayHeartbeats(worker);
             }
         }
 
-        /** Copies of some of its reports arrive again, everywhere, and some of them once a new leader is there. */
+        /** Sends copies of some of the worker's heartbeats to all controllers, some of them after a leader change. */
         private void replayHeartbeats(FakeWorker worker) {
-            List<Map<String, Object>> reports = worker.heartbeats();
-            for (int i = 0; i < 3 && !reports.isEmpty(); i++) {
+            List<Map<String, Object>> heartbeats = worker.heartbeats();
+            for (int i = 0; i < 3 && !heartbeats.isEmpty(); i++) {
                 Map<String, Object> copy =
-                        reports.get(reports.size() - 1 - random.nextInt(Math.min(20, reports.size())));
-                soon(1, 20_000_000, () -> world.alive().forEach(node -> world.postAsync(node, "/checkin", copy)));
+                        heartbeats.get(heartbeats.size() - 1 - random.nextInt(Math.min(20, heartbeats.size())));
+                schedule(
+                        1, 20_000_000, () -> cluster.alive().forEach(node -> cluster.postAsync(node, "/checkin", copy)));
             }
         }
 
-        /** Troubles are over: every accepted job ends. */
-        private void recover() {
-            world.network.injectFaults((from, call) -> FakeNetwork.NORMAL);
-            world.clock.passSeconds(31);
-            new ArrayList<>(down).forEach(this::back);
-            world.clock.passSeconds(15);
-            for (String id : endless) {
+        /** Heals all faults, then checks that every accepted job ends. */
+        private void healAndAwaitJobs() {
+            cluster.network.injectFaults((from, call) -> FakeNetwork.NORMAL);
+            cluster.clock.passSeconds(31);
+            new ArrayList<>(killedNodes).forEach(this::restart);
+            cluster.clock.passSeconds(15);
+            for (String id : endlessJobs) {
                 if (accepted.containsKey(id)) {
-                    world.cancel(node(), id);
+                    cluster.cancel(randomNode(), id);
                 }
             }
             int idleSeconds = 0;
-            while (!world.store.keys("open/").isEmpty() && idleSeconds < MOST_IDLE_SECONDS) {
-                int before = starts() - world.store.keys("open/").size();
-                world.clock.passSeconds(1);
-                world.store.keys("open/").forEach(this::cancelUnanswered);
-                int after = starts() - world.store.keys("open/").size();
-                idleSeconds = after == before ? idleSeconds + 1 : 0;
+            while (!cluster.store.keys("open/").isEmpty() && idleSeconds < MAX_IDLE_SECONDS) {
+                int progressBefore = totalStarts() - cluster.store.keys("open/").size();
+                cluster.clock.passSeconds(1);
+                cluster.store.keys("open/").forEach(this::cancelUnanswered);
+                int progressAfter = totalStarts() - cluster.store.keys("open/").size();
+                idleSeconds = progressAfter == progressBefore ? idleSeconds + 1 : 0;
             }
-            assertEquals(List.of(), world.store.keys("open/"), this::standing);
-            accepted.keySet().forEach(id -> assertNotNull(world.store.value("final/" + id), id));
+            assertEquals(List.of(), cluster.store.keys("open/"), this::describeRecords);
+            accepted.keySet().forEach(id -> assertNotNull(cluster.store.value("final/" + id), id));
         }
 
-        /** A service whose acceptance was never answered would never end. */
+        /** Cancels a service whose user got no answer to the submission and thus can't cancel it. */
         private void cancelUnanswered(String key) {
             String id = key.substring("open/".length());
-            if (endless.contains(id)) {
-                world.cancel(node(), id);
+            if (endlessJobs.contains(id)) {
+                cluster.cancel(randomNode(), id);
             }
         }
 
-        private String standing() {
+        private String describeRecords() {
             StringBuilder text = new StringBuilder();
             for (String prefix : List.of("open/", "slices/")) {
-                world.store
+                cluster.store
                         .keys(prefix)
                         .forEach(
-                                key -> text.append('\n').append(key).append(' ').append(world.store.value(key)));
+                                key -> text.append('\n').append(key).append(' ').append(cluster.store.value(key)));
             }
             return text.toString();
         }
     }
 
-    private static void play(OperatorSettings.TeamLimitSource limits) {
-        Map<Fault, Integer> happened = new EnumMap<>(Fault.class);
+    private static void runAllSeeds(OperatorSettings.TeamLimitSource limits) {
+        Map<Fault, Integer> injectedFaults = new EnumMap<>(Fault.class);
         int starts = 0;
         List<String> failures = new ArrayList<>();
-        for (int seed = FROM; seed < FROM + SEEDS; seed++) {
-            Day day = new Day(seed, limits, happened);
+        for (int seed = FIRST_SEED; seed < FIRST_SEED + SEED_COUNT; seed++) {
+            FaultRun run = new FaultRun(seed, limits, injectedFaults);
             try {
-                day.play();
+                run.run();
             } catch (AssertionError | RuntimeException failure) {
                 failures.add("seed " + seed + ": " + failure);
             }
-            starts += day.starts();
+            starts += run.totalStarts();
         }
         System.out.printf(
                 "random faults, limits of %s, seeds %d to %d: %d starts, %s%n",
                 limits,
-                FROM,
-                FROM + SEEDS - 1,
+                FIRST_SEED,
+                FIRST_SEED + SEED_COUNT - 1,
                 starts,
-                new TreeSet<>(happened.entrySet().stream().map(Object::toString).toList()));
+                new TreeSet<>(
+                        injectedFaults.entrySet().stream().map(Object::toString).toList()));
         assertEquals(List.of(), failures);
         for (Fault fault : Fault.values()) {
-            assertTrue(happened.getOrDefault(fault, 0) > 0, fault + " took no effect");
+            assertTrue(injectedFaults.getOrDefault(fault, 0) > 0, fault + " was never injected");
         }
-        assertTrue(starts > 10 * SEEDS, starts + " starts");
+        assertTrue(starts > 10 * SEED_COUNT, starts + " starts");
     }
 
     @Test
-    void noRuleBreaksWithLimitsOfSettings() {
-        play(OperatorSettings.TeamLimitSource.SETTINGS);
+    void invariantsHoldWithTeamLimitsOfTheSettings() {
+        runAllSeeds(OperatorSettings.TeamLimitSource.SETTINGS);
     }
 
     @Test
-    void noRuleBreaksWithLimitsOnRecord() {
-        play(OperatorSettings.TeamLimitSource.RECORDED);
+    void invariantsHoldWithRecordedTeamLimits() {
+        runAllSeeds(OperatorSettings.TeamLimitSource.RECORDED);
     }
 }
--- a/src/test/java/org/weldcourse/app/RealTeamLimitsTest.java
+++ b/src/test/java/org/weldcourse/app/RealTeamLimitsTest.java
@@ -34,17 +34,19 @@
 import org.weldcourse.simulation.SimulatedCluster;
 
 /**
- * Three controllers as real processes against stand-ins on the loopback, jobs submitted to all of them at once: one is
- * frozen and resumed, the leader is killed, and limits are lowered by the command in the midst. The history has to show no
- * overshoot, and every accepted job has to end. {@code -Dweldcourse.submissions=N} makes it longer.
+ * Guards against exceeded limits and lost jobs when real controller processes fail. Three controllers run against
+ * simulated services on the loopback and all receive jobs while one is frozen and resumed, the leader is killed, and
+ * the operators' command lowers limits. The quota history must show no exceeded limit, and every accepted job must
+ * end. {@code -Dweldcourse.submissions=N} sets the number of jobs.
  */
 class RealTeamLimitsTest {
     private static final int SUBMISSIONS = Integer.getInteger("weldcourse.submissions", 240);
-    private static final String MODE = System.getProperty("weldcourse.team-limits", "deploy/team-limits.xml");
+    private static final String OPERATOR_SETTINGS_FILE =
+            System.getProperty("weldcourse.team-limits", "deploy/team-limits.xml");
     private static final int MACHINES = 24;
     private static final int CLIENTS = 24;
-    private static final long PACE_MILLIS = Long.getLong("weldcourse.pace-millis", 100);
-    private static final long MOST_SECONDS_TO_END = 120 + SUBMISSIONS / 10;
+    private static final long SUBMISSION_INTERVAL_MILLIS = Long.getLong("weldcourse.pace-millis", 100);
+    private static final long MAX_SECONDS_UNTIL_ALL_END = 120 + SUBMISSIONS / 10;
     private static final double CORE_LIMIT = 48;
     private static final List<Settings.Team> TEAMS =
             List.of(new Settings.Team("core", 8, CORE_LIMIT, 0, 0), new Settings.Team("edge", 8, 48, 0, 0));
@@ -54,21 +56,22 @@
 
     private final HttpClient http =
             HttpClient.newBuilder().connectTimeout(Duration.ofSeconds(2)).build();
-    private final ConcurrentHistogram acceptMicros = new ConcurrentHistogram(3);
-    private final ConcurrentHistogram startMicros = new ConcurrentHistogram(3);
+    private final ConcurrentHistogram acceptanceMicros = new ConcurrentHistogram(3);
+    private final ConcurrentHistogram firstStartMicros = new ConcurrentHistogram(3);
     private final Map<String, Long> submittedNanos = new ConcurrentHashMap<>();
     private final List<String> accepted = new ArrayList<>();
     private final AtomicInteger refusals = new AtomicInteger();
     private LoopbackCluster cluster;
-    private QuotaHistoryChecker history;
+    private QuotaHistoryChecker quotaHistory;
 
     @Test
-    void limitsHoldOverAFrozenAndAKilledProcess() throws Exception {
-        List<String> options = MODE.isEmpty() ? List.of() : List.of("--operators", MODE);
+    void limitsHoldAcrossAFrozenAndAKilledProcess() throws Exception {
+        List<String> options =
+                OPERATOR_SETTINGS_FILE.isEmpty() ? List.of() : List.of("--operators", OPERATOR_SETTINGS_FILE);
         cluster = new LoopbackCluster(3, MACHINES, TEAMS, directory, options);
-        history = cluster.callOnEventLoop(() -> new QuotaHistoryChecker(cluster.state(), cluster.invariants()));
+        quotaHistory = cluster.callOnEventLoop(() -> new QuotaHistoryChecker(cluster.state(), cluster.invariants()));
         cluster.callOnEventLoop(() -> {
-            cluster.invariants().addStartListener((task, attempt) -> started(task));
+            cluster.invariants().addStartListener((task, attempt) -> recordFirstStart(task));
             return null;
         });
         try {
@@ -76,19 +79,19 @@
                 cluster.start(name);
             }
             awaitReady();
-            if (!MODE.isEmpty()) {
-                limits("set-cohort", "branches", "--cpus-max", "80");
-                limits("set", "core", "--cohort", "branches");
-                limits("set", "edge", "--cohort", "branches");
+            if (!OPERATOR_SETTINGS_FILE.isEmpty()) {
+                runLimitsCommand("set-cohort", "branches", "--cpus-max", "80");
+                runLimitsCommand("set", "core", "--cohort", "branches");
+                runLimitsCommand("set", "edge", "--cohort", "branches");
             }
-            long beganNanos = System.nanoTime();
-            Thread troubles = new Thread(this::troubles);
-            troubles.start();
+            long startNanos = System.nanoTime();
+            Thread faultInjector = new Thread(this::injectFaults);
+            faultInjector.start();
             submitAll();
-            double submitSeconds = (System.nanoTime() - beganNanos) / 1e9;
-            troubles.join();
+            double submitSeconds = (System.nanoTime() - startNanos) / 1e9;
+            faultInjector.join();
             awaitAllEnded();
-            double seconds = (System.nanoTime() - beganNanos) / 1e9;
+            double seconds = (System.nanoTime() - startNanos) / 1e9;
             cluster.throwFailure();
             checkEveryJobIsKnown();
             report(submitSeconds, seconds);
@@ -97,10 +100,10 @@
         }
     }
 
-    private void started(String task) {
-        Long since = submittedNanos.remove(task.substring(0, task.indexOf('/')));
-        if (since != null) {
-            startMicros.recordValue((System.nanoTime() - since) / 1_000);
+    private void recordFirstStart(String task) {
+        Long submittedAt = submittedNanos.remove(task.substring(0, task.indexOf('/')));
+        if (submittedAt != null) {
+            firstStartMicros.recordValue((System.nanoTime() - submittedAt) / 1_000);
         }
     }
 
@@ -108,7 +111,7 @@
         for (int i = 0; i < 200; i++) {
             int ready = 0;
             for (String name : cluster.names()) {
-                ready += status("GET", "http://" + cluster.api(name) + "/ready") == 200 ? 1 : 0;
+                ready += statusOf("GET", "http://" + cluster.api(name) + "/ready") == 200 ? 1 : 0;
             }
             if (ready == cluster.names().size() && cluster.leader() != null) {
                 return;
@@ -118,7 +121,7 @@
         throw new AssertionError("the controllers are not ready");
     }
 
-    private int status(String method, String uri) throws InterruptedException {
+    private int statusOf(String method, String uri) throws InterruptedException {
         try {
             HttpRequest request = HttpRequest.newBuilder(URI.create(uri))
                     .timeout(Duration.ofSeconds(2))
@@ -130,75 +133,75 @@
         }
     }
 
-    /** The operators' command, as they would type it. */
-    private void limits(String... words) throws Exception {
+    /** Runs the operators' {@code limits} command in a process of its own. */
+    private void runLimitsCommand(String... arguments) throws Exception {
         List<String> command = new ArrayList<>(DeployedProgram.command(word -> word));
         command.remove(command.size() - 1);
         command.add("limits");
-        command.addAll(List.of(words));
+        command.addAll(List.of(arguments));
         command.addAll(List.of("--config", cluster.settingsFile("n0").toString()));
         Process process = new ProcessBuilder(command).redirectErrorStream(true).start();
         String output = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         assertEquals(0, process.waitFor(), output);
-        System.out.print("limits " + String.join(" ", words) + ": " + output);
+        System.out.print("limits " + String.join(" ", arguments) + ": " + output);
     }
 
-    private void troubles() {
+    private void injectFaults() {
         try {
             String leader = cluster.leader();
-            String follower = cluster.names().stream()
+            String standby = cluster.names().stream()
                     .filter(name -> !name.equals(leader))
                     .findFirst()
                     .orElseThrow();
             Thread.sleep(3_000);
-            cluster.freeze(follower, true);
+            cluster.freeze(standby, true);
             Thread.sleep(1_000);
-            if (!MODE.isEmpty()) {
-                limits("set", "core", "--cpus", "2", "--cpus-max", "10", "--over", "displace");
+            if (!OPERATOR_SETTINGS_FILE.isEmpty()) {
+                runLimitsCommand("set", "core", "--cpus", "2", "--cpus-max", "10", "--over", "displace");
             }
             Thread.sleep(2_000);
             cluster.kill(leader);
             Thread.sleep(300);
             cluster.start(leader);
             Thread.sleep(4_000);
-            cluster.freeze(follower, false);
+            cluster.freeze(standby, false);
             Thread.sleep(2_000);
-            if (!MODE.isEmpty()) {
-                limits("set-cohort", "branches", "--cpus-max", "30", "--over", "displace");
+            if (!OPERATOR_SETTINGS_FILE.isEmpty()) {
+                runLimitsCommand("set-cohort", "branches", "--cpus-max", "30", "--over", "displace");
                 Thread.sleep(3_000);
-                limits("set-cohort", "branches", "--cpus-max", "80", "--over", "drain");
-                limits("set", "core", "--cpus", "8", "--cpus-max", String.valueOf(CORE_LIMIT));
+                runLimitsCommand("set-cohort", "branches", "--cpus-max", "80", "--over", "drain");
+                runLimitsCommand("set", "core", "--cpus", "8", "--cpus-max", String.valueOf(CORE_LIMIT));
             }
-        } catch (Exception failed) {
+        } catch (Exception failure) {
             cluster.runOnEventLoop(() -> {
-                throw new AssertionError("the troubles did not come about", failed);
+                throw new AssertionError("the failures could not be injected", failure);
             });
         }
     }
 
     private void submitAll() throws Exception {
         ExecutorService clients = Executors.newFixedThreadPool(CLIENTS);
-        Semaphore pace = new Semaphore(0);
-        CountDownLatch done = new CountDownLatch(SUBMISSIONS);
+        Semaphore submissionPermits = new Semaphore(0);
+        CountDownLatch remaining = new CountDownLatch(SUBMISSIONS);
         for (int i = 1; i <= SUBMISSIONS; i++) {
             int number = i;
             clients.execute(() -> {
                 try {
-                    pace.acquire();
+                    submissionPermits.acquire();
                     submit(number);
-                } catch (Exception failed) {
+                } catch (Exception failure) {
                     cluster.runOnEventLoop(() -> {
-                        throw new AssertionError("a client failed", failed);
+                        throw new AssertionError("a client failed", failure);
                     });
                 } finally {
-                    done.countDown();
+                    remaining.countDown();
                 }
             });
         }
-        // Paced, so that the troubles fall among them and there is room to reserve now and then.
-        while (done.getCount() > 0) {
-            pace.release(1);
-            done.await(PACE_MILLIS, TimeUnit.MILLISECONDS);
+        // Submits at intervals, so that the failures occur between submissions and quota becomes free to reserve.
+        while (remaining.getCount() > 0) {
+            submissionPermits.release(1);
+            remaining.await(SUBMISSION_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
         }
         clients.shutdown();
     }
@@ -216,7 +219,7 @@
                 gang ? 2L : 1L + number % 4,
                 "shape",
                 gang ? "ensemble" : "array");
-        // Awaited: the stand-ins may serve a controller's write before what else their loop was given to do.
+        // Waits for the registration: the simulated services may serve a controller's write before other queued work.
         cluster.callOnEventLoop(() -> {
             cluster.invariants().jobs.put(id, Json.objectOrEmpty(Json.bytes(body)));
             return cluster.invariants().runMicros.put(id, 200_000L + number % 5 * 200_000L);
@@ -227,7 +230,7 @@
                     cluster.names().get((number + attempt) % cluster.names().size());
             long sentNanos = System.nanoTime();
             if (isAccepted(node, id, body)) {
-                acceptMicros.recordValue((System.nanoTime() - sentNanos) / 1_000);
+                acceptanceMicros.recordValue((System.nanoTime() - sentNanos) / 1_000);
                 synchronized (accepted) {
                     accepted.add(id);
                 }
@@ -265,7 +268,7 @@
     }
 
     private void awaitAllEnded() throws Exception {
-        for (int i = 0; i < MOST_SECONDS_TO_END * 5; i++) {
+        for (int i = 0; i < MAX_SECONDS_UNTIL_ALL_END * 5; i++) {
             cluster.throwFailure();
             if (cluster.callOnEventLoop(() -> cluster.state().keys("open/").isEmpty())) {
                 return;
@@ -296,23 +299,24 @@
                 "real processes, %s: %d jobs in %.1f s (%.1f a second accepted), %d refused and tried again; accepted"
                         + " after p50 %.1f p99 %.1f ms; first start after p50 %.2f p99 %.2f s; %d reservations,"
                         + " %d budgets, %d admissions of tasks, %d starts; %d changes (%.2f a job), %d requests%n",
-                MODE.isEmpty() ? "limits of settings" : "limits on record",
+                OPERATOR_SETTINGS_FILE.isEmpty() ? "limits of settings" : "limits on record",
                 SUBMISSIONS,
                 seconds,
                 SUBMISSIONS / submitSeconds,
                 refusals.get(),
-                acceptMicros.getValueAtPercentile(50) / 1e3,
-                acceptMicros.getValueAtPercentile(99) / 1e3,
-                startMicros.getValueAtPercentile(50) / 1e6,
-                startMicros.getValueAtPercentile(99) / 1e6,
-                history.reservations(),
-                history.budgets(),
-                history.admissions(),
-                history.starts(),
+                acceptanceMicros.getValueAtPercentile(50) / 1e3,
+                acceptanceMicros.getValueAtPercentile(99) / 1e3,
+                firstStartMicros.getValueAtPercentile(50) / 1e6,
+                firstStartMicros.getValueAtPercentile(99) / 1e6,
+                quotaHistory.reservations(),
+                quotaHistory.budgets(),
+                quotaHistory.admissions(),
+                quotaHistory.starts(),
                 writes,
                 (double) writes / SUBMISSIONS,
                 requests);
         System.out.println("PASS: no overshoot, every accepted job has ended");
-        assertTrue(MODE.isEmpty() || history.reservations() > 0, "controllers reserved");
+        assertTrue(
+                OPERATOR_SETTINGS_FILE.isEmpty() || quotaHistory.reservations() > 0, "controllers made reservations");
     }
 }
--- a/src/test/java/org/weldcourse/app/RepeatedFailoverTest.java
+++ b/src/test/java/org/weldcourse/app/RepeatedFailoverTest.java
@@ -15,23 +15,30 @@
 import org.weldcourse.simulation.FakeWorker;
 import org.weldcourse.simulation.SimulatedCluster;
 
-/** Failovers that meet other troubles, or one another. */
+/**
+ * Guards against lost jobs and tasks started twice when a failover coincides with other failures: delayed writes, store
+ * outages, cancellations, network partitions, or a further failover.
+ */
 class RepeatedFailoverTest extends FailureCombinations {
     @ParameterizedTest
     @ValueSource(doubles = {0.1, 0.7, 1.5, 3, 7, 9, 12})
-    void tasksThatEndFarApartAcrossAFailover(double endsAfter) {
+    void tasksThatEndFarApartAreStartedOnceAcrossAFailover(double killAfterSeconds) {
         FailureScenario scenario = scenario(2);
-        SimulatedCluster world = scenario.cluster;
-        // One finished task stays listed, to prompt a heartbeat with: it takes two for one to be forgotten too soon.
+        SimulatedCluster cluster = scenario.cluster;
+        // A worker keeps one finished task listed to prompt heartbeats. Two tasks end early, so that it could forget
+        // one
+        // of them too soon.
         String id = scenario.submit(25, "beads", 4);
-        world.runMicros.put(id + "/0", 2_000_000L);
-        world.runMicros.put(id + "/1", 2_000_000L);
-        world.runMicros.put(id + "/3", 60_000_000L);
-        for (int i = 0; i < 600 && (!world.starts.containsKey(id + "/0") || world.workerOf(id + "/0") != null); i++) {
-            world.clock.pass(50_000);
+        cluster.runMicros.put(id + "/0", 2_000_000L);
+        cluster.runMicros.put(id + "/1", 2_000_000L);
+        cluster.runMicros.put(id + "/3", 60_000_000L);
+        for (int i = 0;
+                i < 600 && (!cluster.starts.containsKey(id + "/0") || cluster.workerOf(id + "/0") != null);
+                i++) {
+            cluster.clock.pass(50_000);
         }
-        assertEquals(2, scenario.presentTasks(id).size(), "the first have ended");
-        world.clock.passSeconds(endsAfter);
+        assertEquals(2, scenario.presentTasks(id).size(), "the first two tasks have ended");
+        cluster.clock.passSeconds(killAfterSeconds);
         scenario.killLeader();
         scenario.awaitLeader(8);
         scenario.assertAllJobsEnd(120);
@@ -39,25 +46,25 @@
     }
 
     @Test
-    void machinesUpAtOnceGetWorkWhileWritesLagAndTheLeaderEnds() {
+    void jobsEndDespiteDelayedAdmissionsAndRepeatedFailovers() {
         FailureScenario scenario = scenario(3);
-        SimulatedCluster world = scenario.cluster;
-        world.cloud.bootMicros = 1_200_000;
+        SimulatedCluster cluster = scenario.cluster;
+        cluster.cloud.bootMicros = 1_200_000;
         for (int round = 0; round < 4; round++) {
-            int[] late = new int[1];
-            world.network.injectFaults((from, call) -> {
-                boolean lag = isAdmission(call);
-                late[0] += lag ? 1 : 0;
-                return lag ? 1_000_000 + 2_500_000L * (late[0] % 3) : FakeNetwork.NORMAL;
+            int[] delayedAdmissions = new int[1];
+            cluster.network.injectFaults((from, call) -> {
+                boolean delayed = isAdmission(call);
+                delayedAdmissions[0] += delayed ? 1 : 0;
+                return delayed ? 1_000_000 + 2_500_000L * (delayedAdmissions[0] % 3) : FakeNetwork.NORMAL;
             });
             scenario.submit(15);
             scenario.submit(15, "shape", "ensemble", "beads", 3);
-            world.clock.passSeconds(3 + round);
-            assertTrue(late[0] > 0, "an admission was under way");
-            String ended = scenario.killLeader();
-            world.network.injectFaults((from, call) -> FakeNetwork.NORMAL);
-            world.clock.passSeconds(0.3);
-            world.startNode(ended);
+            cluster.clock.passSeconds(3 + round);
+            assertTrue(delayedAdmissions[0] > 0, "the write of an admission was in flight");
+            String killed = scenario.killLeader();
+            cluster.network.injectFaults((from, call) -> FakeNetwork.NORMAL);
+            cluster.clock.passSeconds(0.3);
+            cluster.startNode(killed);
             scenario.awaitLeader(10);
         }
         scenario.assertAllJobsEnd(180);
@@ -66,54 +73,56 @@
 
     @ParameterizedTest
     @ValueSource(ints = {0, 5, 10, 15, 20, 25, 30, 35, 40, 45, 50, 55, 60})
-    void jobsAreCancelledInTheSecondsOfAFailover(int tenths) {
+    void jobsCancelledDuringAFailoverStop(int tenths) {
         FailureScenario scenario = scenario(3);
-        SimulatedCluster world = scenario.cluster;
-        String runs = scenario.submitAndAwaitRunning(FOREVER);
-        String starts = scenario.submit(FOREVER, "beads", 2);
-        String waits = scenario.submit(FOREVER, "yard", "b", "rigs", List.of("large"));
+        SimulatedCluster cluster = scenario.cluster;
+        String runningJob = scenario.submitAndAwaitRunning(FOREVER);
+        String startingJob = scenario.submit(FOREVER, "beads", 2);
+        String waitingJob = scenario.submit(FOREVER, "yard", "b", "rigs", List.of("large"));
         scenario.killLeader();
-        world.clock.pass(tenths * 100_000L);
-        for (String id : List.of(runs, starts, waits)) {
+        cluster.clock.pass(tenths * 100_000L);
+        for (String id : List.of(runningJob, startingJob, waitingJob)) {
             assertEquals("cancelled", scenario.cancel(id));
         }
         scenario.awaitLeader(10);
-        world.clock.passSeconds(4);
-        assertEquals(0, world.runningTasks(), "cancelled " + tenths + " tenths after the leader's end");
-        assertEquals(0, world.startsAfterCancellation());
+        cluster.clock.passSeconds(4);
+        assertEquals(
+                0, cluster.runningTasks(), "cancelled " + tenths + " tenths of a second after the leader was killed");
+        assertEquals(0, cluster.startsAfterCancellation());
         scenario.assertAllJobsEnd(30);
     }
 
     @Test
-    void tenLeadersInTwoMinutesWithAnOutageAmongThem() {
+    void jobsEndDespiteTenFailoversAndAStoreOutage() {
         FailureScenario scenario = scenario(3);
-        SimulatedCluster world = scenario.cluster;
+        SimulatedCluster cluster = scenario.cluster;
         scenario.submitMixedWork();
         for (int round = 0; round < 10; round++) {
             if (round == 4) {
-                world.store.down(true);
+                cluster.store.down(true);
             }
-            String leader =
-                    world.leader() != null ? world.leader() : world.alive().get(0);
-            world.killNode(leader);
+            String leader = cluster.leader() != null
+                    ? cluster.leader()
+                    : cluster.alive().get(0);
+            cluster.killNode(leader);
             if (round % 3 == 2) {
-                // All end, and one is back within a second; the others follow.
-                world.alive().forEach(world::killNode);
-                world.clock.passSeconds(0.4);
-                world.startNode("n" + round % 3);
-                world.clock.passSeconds(6);
+                // All controllers are killed; one restarts within a second, the others later.
+                cluster.alive().forEach(cluster::killNode);
+                cluster.clock.passSeconds(0.4);
+                cluster.startNode("n" + round % 3);
+                cluster.clock.passSeconds(6);
             } else {
-                world.clock.passSeconds(0.2 + round % 4);
+                cluster.clock.passSeconds(0.2 + round % 4);
             }
-            world.nodes().forEach(node -> {
-                if (!world.alive().contains(node)) {
-                    world.startNode(node);
+            cluster.nodes().forEach(node -> {
+                if (!cluster.alive().contains(node)) {
+                    cluster.startNode(node);
                 }
             });
-            world.clock.passSeconds(8);
+            cluster.clock.passSeconds(8);
             if (round == 5) {
-                world.store.down(false);
-                world.clock.passSeconds(3);
+                cluster.store.down(false);
+                cluster.clock.passSeconds(3);
             }
             if (round != 4) {
                 scenario.submit(5, "beads", 2);
@@ -124,54 +133,54 @@
     }
 
     @Test
-    void allControllersAreAwayForLongerThanALease() {
+    void jobsEndAfterAllControllersWereDownForLongerThanALease() {
         FailureScenario scenario = scenario(3);
-        SimulatedCluster world = scenario.cluster;
+        SimulatedCluster cluster = scenario.cluster;
         scenario.submitMixedWork();
-        world.clock.passSeconds(8);
-        int running = world.runningTasks();
+        cluster.clock.passSeconds(8);
+        int running = cluster.runningTasks();
         assertTrue(running > 0);
-        world.alive().forEach(world::killNode);
-        world.clock.passSeconds(14);
-        assertEquals(0, world.runningTasks(), "their leases ended");
-        world.nodes().forEach(world::startNode);
+        cluster.alive().forEach(cluster::killNode);
+        cluster.clock.passSeconds(14);
+        assertEquals(0, cluster.runningTasks(), "the workers' leases have expired");
+        cluster.nodes().forEach(cluster::startNode);
         scenario.assertAllJobsEnd(240);
     }
 
     @Test
-    void zoneWithWorkersAndTheLeaderIsCutOffForLongerThanALease() {
+    void jobsEndAfterTheLeaderAndItsWorkersWereIsolatedForLongerThanALease() {
         FailureScenario scenario = scenario(3);
-        SimulatedCluster world = scenario.cluster;
+        SimulatedCluster cluster = scenario.cluster;
         scenario.submitMixedWork();
         String cancelled = scenario.submitAndAwaitRunning(FOREVER);
-        world.clock.passSeconds(5);
-        String old = world.leader();
-        Set<String> inside = new HashSet<>();
-        List<String> machines = new ArrayList<>(world.workers.keySet());
+        cluster.clock.passSeconds(5);
+        String isolatedLeader = cluster.leader();
+        Set<String> isolatedMachines = new HashSet<>();
+        List<String> machines = new ArrayList<>(cluster.workers.keySet());
         for (int i = 0; i < machines.size(); i += 2) {
-            inside.add(machines.get(i));
+            isolatedMachines.add(machines.get(i));
         }
-        inside.addAll(scenario.machinesOf(cancelled));
-        world.cutFromStore(old);
-        world.cutFromPeers(old);
-        world.nodes().stream()
-                .filter(node -> !node.equals(old))
-                .forEach(node -> inside.forEach(machine -> {
-                    world.network.cut(machine, node + ":80");
-                    world.network.cut(node, FakeWorker.address(machine));
+        isolatedMachines.addAll(scenario.machinesOf(cancelled));
+        cluster.cutFromStore(isolatedLeader);
+        cluster.cutFromPeers(isolatedLeader);
+        cluster.nodes().stream()
+                .filter(node -> !node.equals(isolatedLeader))
+                .forEach(node -> isolatedMachines.forEach(machine -> {
+                    cluster.network.cut(machine, node + ":80");
+                    cluster.network.cut(node, FakeWorker.address(machine));
                 }));
-        world.clock.passSeconds(6);
+        cluster.clock.passSeconds(6);
         assertEquals("cancelled", scenario.cancel(cancelled));
-        world.clock.passSeconds(8);
+        cluster.clock.passSeconds(8);
         assertEquals(2, scenario.fencingToken());
-        world.clock.passSeconds(20);
-        inside.forEach(machine -> {
-            if (world.workers.containsKey(machine)) {
-                world.heal(machine);
+        cluster.clock.passSeconds(20);
+        isolatedMachines.forEach(machine -> {
+            if (cluster.workers.containsKey(machine)) {
+                cluster.heal(machine);
             }
         });
-        world.healStoreLink(old);
-        world.healPeerLinks(old);
+        cluster.healStoreLink(isolatedLeader);
+        cluster.healPeerLinks(isolatedLeader);
         scenario.assertAllJobsEnd(240);
     }
 }
--- a/src/test/java/org/weldcourse/app/RepeatedFailoverWithServicesTest.java
+++ b/src/test/java/org/weldcourse/app/RepeatedFailoverWithServicesTest.java
@@ -1,8 +1,8 @@
 package org.weldcourse.app;
 
 /**
- * The scripts of {@link RepeatedFailoverTest} with a service in place of each array. Scripts about jobs that end by themselves are overridden
- * without being tests here.
+ * The scenarios of {@link RepeatedFailoverTest} with a service in place of each array. Scenarios about jobs that end by
+ * themselves do not apply to services: their overrides have no test annotation and do not run.
  */
 class RepeatedFailoverWithServicesTest extends RepeatedFailoverTest {
     @Override
@@ -11,5 +11,5 @@
     }
 
     @Override
-    void tasksThatEndFarApartAcrossAFailover(double endsAfter) {}
+    void tasksThatEndFarApartAreStartedOnceAcrossAFailover(double killAfterSeconds) {}
 }
--- a/src/test/java/org/weldcourse/app/ServicesTest.java
+++ b/src/test/java/org/weldcourse/app/ServicesTest.java
@@ -22,379 +22,391 @@
 import org.weldcourse.simulation.FakeWorker;
 import org.weldcourse.simulation.SimulatedCluster;
 
-/** Services: replicas that run until their user cancels them, and run again elsewhere when they are lost. */
+/** Guards against services that lose replicas for good, run replicas twice, or keep some after their cancellation. */
 class ServicesTest {
     private static final String ID = "req-000001";
 
-    private static Map<String, Object> service(Object... changes) {
+    private static Map<String, Object> serviceBody(Object... changes) {
         Map<String, Object> body =
                 jobBody(ID, "shape", "service", "rank", "prod", "cpus", 1.0, "loaners", false, "expected_s", 0.0);
         body.putAll(Json.of(changes));
         return body;
     }
 
-    /** Four large machines, two in each zone, and the service running on them. */
-    private static SimulatedCluster served(int nodes, Object... changes) {
-        SimulatedCluster world = SimulatedCluster.settled(nodes);
+    /** Returns a cluster of four large machines, two in each zone, that runs the service. */
+    private static SimulatedCluster clusterWithService(int nodes, Object... changes) {
+        SimulatedCluster cluster = SimulatedCluster.settled(nodes);
         for (int i = 0; i < 4; i++) {
-            world.cloud.addUnrequested("large", i % 2 == 0 ? "a" : "b", false);
+            cluster.cloud.addUnrequested("large", i % 2 == 0 ? "a" : "b", false);
         }
-        world.clock.passSeconds(7);
-        world.runMicros.put(ID, Long.MAX_VALUE);
-        assertEquals(201, world.submit("n0", service(changes)).status());
-        awaitReplicas(world, 4, 4);
-        return world;
+        cluster.clock.passSeconds(7);
+        cluster.runMicros.put(ID, Long.MAX_VALUE);
+        assertEquals(201, cluster.submit("n0", serviceBody(changes)).status());
+        awaitReplicas(cluster, 4, 4);
+        return cluster;
     }
 
-    private static void awaitReplicas(SimulatedCluster world, int wanted, double seconds) {
-        for (int i = 0; i < seconds * 10 && replicas(world).size() < wanted; i++) {
-            world.clock.pass(100_000);
+    private static void awaitReplicas(SimulatedCluster cluster, int expected, double seconds) {
+        for (int i = 0; i < seconds * 10 && runningReplicas(cluster).size() < expected; i++) {
+            cluster.clock.pass(100_000);
         }
-        assertEquals(wanted, replicas(world).size());
+        assertEquals(expected, runningReplicas(cluster).size());
     }
 
-    private static List<String> replicas(SimulatedCluster world) {
+    private static List<String> runningReplicas(SimulatedCluster cluster) {
         List<String> running = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
-            if (world.workerOf(ID + "/" + i) != null) {
+            if (cluster.workerOf(ID + "/" + i) != null) {
                 running.add(ID + "/" + i);
             }
         }
         return running;
     }
 
-    private static int starts(SimulatedCluster world) {
-        return world.starts.values().stream().mapToInt(Integer::intValue).sum();
+    private static int totalStarts(SimulatedCluster cluster) {
+        return cluster.starts.values().stream().mapToInt(Integer::intValue).sum();
     }
 
-    private static Set<String> machines(SimulatedCluster world) {
+    private static Set<String> machinesOfReplicas(SimulatedCluster cluster) {
         Set<String> machines = new HashSet<>();
-        replicas(world)
-                .forEach(task -> machines.add(world.workerOf(task).machine().name()));
+        runningReplicas(cluster)
+                .forEach(task -> machines.add(cluster.workerOf(task).machine().name()));
         return machines;
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"silent", "notice", "lost session", "leader ends", "state outage"})
-    void lostReplicasRunAgainElsewhere(String trouble) {
-        SimulatedCluster world = served(3);
-        FakeWorker worker = world.workerOf(ID + "/0");
+    @ValueSource(strings = {"silent", "notice", "lost session", "leader killed", "store outage"})
+    void lostReplicasAreReplacedOnOtherMachines(String fault) {
+        SimulatedCluster cluster = clusterWithService(3);
+        FakeWorker worker = cluster.workerOf(ID + "/0");
         String machine = worker.machine().name();
-        long lost = replicas(world).stream()
-                .filter(task -> world.workerOf(task) == worker)
+        long lost = runningReplicas(cluster).stream()
+                .filter(task -> cluster.workerOf(task) == worker)
                 .count();
-        assertTrue(lost <= 2, "one machine holds few of them");
-        int writes = world.store.writes();
-        switch (trouble) {
+        assertTrue(lost <= 2, "one machine runs at most two replicas");
+        int writes = cluster.store.writes();
+        switch (fault) {
             case "notice" -> worker.announcePreemption(8_000_000);
             case "lost session" -> {
-                world.cutHeartbeats(machine);
-                world.clock.passSeconds(10.4);
-                world.heal(machine);
+                cluster.cutHeartbeats(machine);
+                cluster.clock.passSeconds(10.4);
+                cluster.heal(machine);
             }
-            case "leader ends" -> {
+            case "leader killed" -> {
                 worker.freeze(true);
-                world.killNode(world.leader());
+                cluster.killNode(cluster.leader());
             }
-            case "state outage" -> {
+            case "store outage" -> {
                 worker.freeze(true);
-                world.store.down(true);
-                world.clock.passSeconds(9);
-                world.store.down(false);
+                cluster.store.down(true);
+                cluster.clock.passSeconds(9);
+                cluster.store.down(false);
             }
             default -> worker.freeze(true);
         }
-        // A notice is acted on at once, not when it comes to pass.
-        int tenths = trouble.equals("notice") ? 40 : 400;
-        for (int i = 0; i < tenths && starts(world) < 4 + lost; i++) {
-            world.clock.pass(100_000);
+        // A preemption notice takes effect at once, before the machine is preempted.
+        int tenths = fault.equals("notice") ? 40 : 400;
+        for (int i = 0; i < tenths && totalStarts(cluster) < 4 + lost; i++) {
+            cluster.clock.pass(100_000);
         }
-        world.clock.passSeconds(1);
-        assertEquals(4, replicas(world).size());
-        assertEquals(4 + lost, starts(world), "only what was lost started again");
-        if (!trouble.equals("lost session")) {
-            assertFalse(machines(world).contains(machine));
+        cluster.clock.passSeconds(1);
+        assertEquals(4, runningReplicas(cluster).size());
+        assertEquals(4 + lost, totalStarts(cluster), "only lost replicas started again");
+        if (!fault.equals("lost session")) {
+            assertFalse(machinesOfReplicas(cluster).contains(machine));
         }
-        if (trouble.equals("silent") || trouble.equals("notice")) {
-            // One admission for all that were lost, and the record of the machine types now and then.
-            assertTrue(world.store.writes() - writes <= lost + 2, "changes: " + (world.store.writes() - writes));
+        if (fault.equals("silent") || fault.equals("notice")) {
+            // One admission covers all lost replicas; the machine types are recorded from time to time.
+            assertTrue(cluster.store.writes() - writes <= lost + 2, "writes: " + (cluster.store.writes() - writes));
         }
-        assertEquals("running", world.poll(world.alive().get(0), ID).state());
+        assertEquals("running", cluster.poll(cluster.alive().get(0), ID).state());
     }
 
-    /** What a new leader has not heard of for most of a lease is lost to its users; the lease will end unheard. */
+    /**
+     * A new leader releases a machine that it has not heard from for most of a worker lease, rather than wait until the
+     * lease has expired: its replicas are of no use to their users.
+     */
     @Test
-    void replicasOnMachinesLostWithTheLeaderAreReplacedSoon() {
-        SimulatedCluster world = served(3);
-        FakeWorker worker = world.workerOf(ID + "/0");
+    void replicasOnAMachineLostWithTheLeaderAreReplacedEarly() {
+        SimulatedCluster cluster = clusterWithService(3);
+        FakeWorker worker = cluster.workerOf(ID + "/0");
         worker.freeze(true);
-        world.killNode(world.leader());
+        cluster.killNode(cluster.leader());
         int tenths = 0;
-        while (!world.cloud.released.contains(worker.machine().name()) && tenths < 300) {
-            world.clock.pass(100_000);
+        while (!cluster.cloud.released.contains(worker.machine().name()) && tenths < 300) {
+            cluster.clock.pass(100_000);
             tenths++;
         }
-        assertTrue(tenths < 130, "returned after " + tenths / 10.0 + " s");
-        awaitReplicas(world, 4, 2);
+        assertTrue(tenths < 130, "released after " + tenths / 10.0 + " s");
+        awaitReplicas(cluster, 4, 2);
     }
 
-    /** Silent for less than a lease, the machines of a zone go on, and nothing has to be started again. */
+    /** The machines of a zone that are silent for less than a lease keep their replicas. */
     @Test
-    void replicasOutliveMissedHeartbeatsOfTheirZoneShorterThanTheirLease() {
-        SimulatedCluster world = served(1);
+    void replicasSurviveMissedHeartbeatsShorterThanTheirLease() {
+        SimulatedCluster cluster = clusterWithService(1);
         List<String> machines = new ArrayList<>();
-        world.workers.forEach((name, worker) -> {
+        cluster.workers.forEach((name, worker) -> {
             if (worker.machine().zone().equals("b")) {
                 machines.add(name);
             }
         });
         assertEquals(2, machines.size());
-        machines.forEach(machine -> world.workers.get(machine).freeze(true));
-        world.clock.passSeconds(8.5);
-        machines.forEach(machine -> world.workers.get(machine).freeze(false));
-        world.clock.passSeconds(10);
-        assertTrue(machines.stream().noneMatch(world.cloud.released::contains), world.cloud.released.toString());
-        assertEquals(4, starts(world));
-        assertEquals(4, replicas(world).size());
+        machines.forEach(machine -> cluster.workers.get(machine).freeze(true));
+        cluster.clock.passSeconds(8.5);
+        machines.forEach(machine -> cluster.workers.get(machine).freeze(false));
+        cluster.clock.passSeconds(10);
+        assertTrue(machines.stream().noneMatch(cluster.cloud.released::contains), cluster.cloud.released.toString());
+        assertEquals(4, totalStarts(cluster));
+        assertEquals(4, runningReplicas(cluster).size());
     }
 
     @Test
-    void aSilentMachineWithReplicasIsReleasedSoonerThanOthers() {
-        SimulatedCluster world = served(1);
-        FakeWorker worker = world.workerOf(ID + "/0");
+    void silentMachineWithReplicasIsReleasedEarly() {
+        SimulatedCluster cluster = clusterWithService(1);
+        FakeWorker worker = cluster.workerOf(ID + "/0");
         worker.freeze(true);
         for (int i = 0;
-                i < 83 && !world.cloud.released.contains(worker.machine().name());
+                i < 83 && !cluster.cloud.released.contains(worker.machine().name());
                 i++) {
-            world.clock.pass(100_000);
+            cluster.clock.pass(100_000);
         }
-        assertTrue(world.cloud.released.contains(worker.machine().name()), "its return is the evidence");
-        awaitReplicas(world, 4, 2);
+        assertTrue(
+                cluster.cloud.released.contains(worker.machine().name()),
+                "its release proves that the replica is gone");
+        awaitReplicas(cluster, 4, 2);
     }
 
     @Test
-    void replicasKeepToTheirZonesWhenMachinesAreLostOneByOne() {
-        // The world fails the test when more than half are in one zone.
-        SimulatedCluster world = served(2, "apart", true);
+    void replicasStaySpreadOverZonesWhenMachinesAreLostOneByOne() {
+        // The simulated cluster fails the test when more than half of the replicas are in one zone.
+        SimulatedCluster cluster = clusterWithService(2, "apart", true);
         for (int round = 0; round < 4; round++) {
-            FakeWorker worker =
-                    world.workerOf(replicas(world).get(round % replicas(world).size()));
+            FakeWorker worker = cluster.workerOf(runningReplicas(cluster)
+                    .get(round % runningReplicas(cluster).size()));
             worker.freeze(true);
-            world.clock.passSeconds(35);
-            assertTrue(world.cloud.released.contains(worker.machine().name()));
-            awaitReplicas(world, 4, 30);
+            cluster.clock.passSeconds(35);
+            assertTrue(cluster.cloud.released.contains(worker.machine().name()));
+            awaitReplicas(cluster, 4, 30);
         }
     }
 
-    private static void loseZone(SimulatedCluster world, String zone) {
-        world.workers.values().stream()
+    private static void freezeMachinesIn(SimulatedCluster cluster, String zone) {
+        cluster.workers.values().stream()
                 .filter(worker -> worker.machine().zone().equals(zone))
                 .forEach(worker -> worker.freeze(true));
     }
 
     @Test
-    void replicasReturnWhenZonesAreLostOneAfterTheOther() {
-        SimulatedCluster world = served(3, "apart", true);
+    void replicasAreReplacedWhenZonesAreLostOneAfterTheOther() {
+        SimulatedCluster cluster = clusterWithService(3, "apart", true);
         for (String zone : List.of("b", "a", "b")) {
-            Set<String> lost = machines(world);
+            Set<String> lost = machinesOfReplicas(cluster);
             lost.removeIf(
-                    machine -> !world.workers.get(machine).machine().zone().equals(zone));
+                    machine -> !cluster.workers.get(machine).machine().zone().equals(zone));
             assertFalse(lost.isEmpty());
-            loseZone(world, zone);
-            world.clock.passSeconds(12);
-            assertTrue(world.cloud.released.containsAll(lost), "their return is the evidence");
-            awaitReplicas(world, 4, 20);
+            freezeMachinesIn(cluster, zone);
+            cluster.clock.passSeconds(12);
+            assertTrue(cluster.cloud.released.containsAll(lost), "their release proves that the replicas are gone");
+            awaitReplicas(cluster, 4, 20);
         }
-        assertEquals(10, starts(world), "two replicas were lost with each zone");
+        assertEquals(10, totalStarts(cluster), "each lost zone had two replicas");
     }
 
-    /** The team's limit is 8 CPUs; what nobody has said to be gone holds its part of it, whoever leads. */
+    /** Replicas count against the limit of 8 CPUs until evidence shows that they are gone, also under a new leader. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void servicesOfOneTeamNeverExceedItsLimit(boolean leaderEnds) {
-        SimulatedCluster world = served(3, "crew", "capped");
-        world.runMicros.put("req-000002", Long.MAX_VALUE);
-        world.runMicros.put("req-000003", Long.MAX_VALUE);
-        Map<String, Object> second = service("name_id", "req-000002", "crew", "capped");
-        Map<String, Object> third = service("name_id", "req-000003", "crew", "capped", "beads", 3);
-        assertEquals(201, world.submit("n0", second).status());
-        world.clock.passSeconds(4);
-        assertEquals(8, world.runningTasks());
-        assertEquals(201, world.submit("n0", third).status());
+    void teamLimitHoldsWhileCancelledReplicasMayStillRun(boolean leaderIsKilled) {
+        SimulatedCluster cluster = clusterWithService(3, "crew", "capped");
+        cluster.runMicros.put("req-000002", Long.MAX_VALUE);
+        cluster.runMicros.put("req-000003", Long.MAX_VALUE);
+        Map<String, Object> second = serviceBody("name_id", "req-000002", "crew", "capped");
+        Map<String, Object> third = serviceBody("name_id", "req-000003", "crew", "capped", "beads", 3);
+        assertEquals(201, cluster.submit("n0", second).status());
+        cluster.clock.passSeconds(4);
+        assertEquals(8, cluster.runningTasks());
+        assertEquals(201, cluster.submit("n0", third).status());
         assertEquals(
                 201,
-                world.submit("n0", jobBody("req-000004", "rank", "urgent", "crew", "capped"))
+                cluster.submit("n0", jobBody("req-000004", "rank", "urgent", "crew", "capped"))
                         .status());
-        // Replicas of the first are on machines that nobody reaches, and it is cancelled: the cloud can't say that they
-        // are gone.
-        world.cloud.down(true);
-        machines(world).forEach(machine -> world.workers.get(machine).freeze(true));
-        if (leaderEnds) {
-            world.killNode(world.leader());
+        // Cancels the first service while its machines are unreachable and the cloud can't confirm that they are gone.
+        cluster.cloud.down(true);
+        machinesOfReplicas(cluster)
+                .forEach(machine -> cluster.workers.get(machine).freeze(true));
+        if (leaderIsKilled) {
+            cluster.killNode(cluster.leader());
         }
-        world.clock.passSeconds(6);
-        String node = world.alive().get(0);
-        assertEquals("cancelled", world.cancel(node, ID).state());
-        world.clock.passSeconds(20);
-        assertFalse(world.starts.containsKey("req-000003/0"), "the limit is taken as long as nobody knows better");
-        world.cloud.down(false);
-        world.clock.passSeconds(30);
+        cluster.clock.passSeconds(6);
+        String node = cluster.alive().get(0);
+        assertEquals("cancelled", cluster.cancel(node, ID).state());
+        cluster.clock.passSeconds(20);
+        assertFalse(
+                cluster.starts.containsKey("req-000003/0"),
+                "the limit stays used without evidence that replicas are gone");
+        cluster.cloud.down(false);
+        cluster.clock.passSeconds(30);
         for (int replica = 0; replica < 3; replica++) {
-            assertNotNull(world.workerOf("req-000003/" + replica), "replica " + replica + " of the third runs now");
+            assertNotNull(cluster.workerOf("req-000003/" + replica), "replica " + replica + " of the third runs now");
         }
-        assertEquals(7, world.runningTasks());
+        assertEquals(7, cluster.runningTasks());
     }
 
     @Test
-    void aGuaranteeComesTrueWhereServicesOfAnotherTeamBorrowedIt() {
+    void guaranteeIsReclaimedFromServicesOfAnotherTeam() {
         List<Settings.Team> teams =
                 List.of(new Settings.Team("core", 0, 0, 0, 0), new Settings.Team("owner", 8, 0, 0, 0));
-        SimulatedCluster world = new SimulatedCluster(1, 16, 32 * 1024, teams);
-        world.clock.passSeconds(2);
-        world.cloud.addUnrequested("large", "a", false);
-        world.cloud.capacity = 1;
-        world.clock.passSeconds(7);
-        world.runMicros.put(ID, Long.MAX_VALUE);
-        assertEquals(201, world.submit("n0", service("beads", 8, "cpus", 2.0)).status());
-        world.clock.passSeconds(4);
-        assertEquals(8, replicas(world).size(), "the machine is full");
-        world.runMicros.put("req-000002", 300_000_000L);
+        SimulatedCluster cluster = new SimulatedCluster(1, 16, 32 * 1024, teams);
+        cluster.clock.passSeconds(2);
+        cluster.cloud.addUnrequested("large", "a", false);
+        cluster.cloud.capacity = 1;
+        cluster.clock.passSeconds(7);
+        cluster.runMicros.put(ID, Long.MAX_VALUE);
+        assertEquals(
+                201, cluster.submit("n0", serviceBody("beads", 8, "cpus", 2.0)).status());
+        cluster.clock.passSeconds(4);
+        assertEquals(8, runningReplicas(cluster).size(), "the machine is full");
+        cluster.runMicros.put("req-000002", 300_000_000L);
         assertEquals(
                 201,
-                world.submit("n0", jobBody("req-000002", "crew", "owner", "rank", "idle", "beads", 4))
+                cluster.submit("n0", jobBody("req-000002", "crew", "owner", "rank", "idle", "beads", 4))
                         .status());
-        world.clock.passSeconds(8);
-        assertEquals(4, replicas(world).size());
-        assertEquals(8, world.runningTasks(), "the team has its guarantee, of whatever priority its work is");
+        cluster.clock.passSeconds(8);
+        assertEquals(4, runningReplicas(cluster).size());
+        assertEquals(8, cluster.runningTasks(), "the team gets its guarantee regardless of priority");
     }
 
     /**
-     * Some replicas find free room and others displace lower priorities. When that made two admissions of one job, the second was
-     * refused, the record written anew without the first, whose answer came late, and a new leader ran the first once more.
+     * Some replicas fit free capacity, the others preempt lower priorities. When a cycle wrote two admissions of one
+     * job and the answer to the first came late, the second was refused, the record was rewritten without the first,
+     * and a new leader started the first once more.
      */
     @ParameterizedTest
     @ValueSource(longs = {0, 150_000, 400_000, 1_200_000})
-    void anAdmissionWhoseAnswerIsLateStaysOnRecord(long answerLateMicros) {
-        SimulatedCluster world = SimulatedCluster.settled(2);
-        world.cloud.addUnrequested("large", "a", false);
-        world.cloud.capacity = 1;
-        world.clock.passSeconds(7);
-        world.runMicros.put("req-000002", 300_000_000L);
-        world.submit("n0", jobBody("req-000002", "rank", "idle", "beads", 7));
-        world.clock.passSeconds(4);
+    void admissionWithALateAnswerIsNotLostFromTheRecord(long answerLateMicros) {
+        SimulatedCluster cluster = SimulatedCluster.settled(2);
+        cluster.cloud.addUnrequested("large", "a", false);
+        cluster.cloud.capacity = 1;
+        cluster.clock.passSeconds(7);
+        cluster.runMicros.put("req-000002", 300_000_000L);
+        cluster.submit("n0", jobBody("req-000002", "rank", "idle", "beads", 7));
+        cluster.clock.passSeconds(4);
         int[] admissions = new int[1];
-        world.network.injectFaults((from, call) -> {
+        cluster.network.injectFaults((from, call) -> {
             boolean admits = call.path().equals("/commit")
                     && new String(Json.bytes(call.body()), StandardCharsets.UTF_8).contains("\"write\":\"slices/" + ID);
             return admits && admissions[0]++ == 0
                     ? FakeNetwork.responseDelayedBy(answerLateMicros)
                     : FakeNetwork.NORMAL;
         });
-        world.runMicros.put(ID, Long.MAX_VALUE);
-        assertEquals(201, world.submit("n0", service()).status());
-        awaitReplicas(world, 4, 8);
-        assertEquals(1, admissions[0], "one admission for those that found room and those that displaced others");
-        world.killNode(world.leader());
-        world.clock.passSeconds(20);
-        assertEquals(4, replicas(world).size());
-        assertEquals(4, starts(world) - 7, "none started again");
+        cluster.runMicros.put(ID, Long.MAX_VALUE);
+        assertEquals(201, cluster.submit("n0", serviceBody()).status());
+        awaitReplicas(cluster, 4, 8);
+        assertEquals(1, admissions[0], "one admission covers replicas on free capacity and those that preempt");
+        cluster.killNode(cluster.leader());
+        cluster.clock.passSeconds(20);
+        assertEquals(4, runningReplicas(cluster).size());
+        assertEquals(4, totalStarts(cluster) - 7, "none started again");
     }
 
-    /** However its replicas are under way when it is cancelled, all are gone, and none starts after. */
+    /** No replica remains or starts after the cancellation, at any stage of the replacement of lost replicas. */
     @ParameterizedTest
     @ValueSource(doubles = {0.05, 0.4, 7.2, 8.0, 9.0, 12.0})
-    void cancelledWhileAReplacementIsUnderWay(double cancelAfter) {
-        SimulatedCluster world = served(2);
-        world.workerOf(ID + "/0").freeze(true);
-        world.clock.passSeconds(cancelAfter);
-        assertEquals("cancelled", world.cancel("n0", ID).state());
-        world.clock.passSeconds(4);
-        long reachable = world.workers.values().stream()
+    void noReplicaStartsAfterCancellationDuringItsReplacement(double cancelAfterSeconds) {
+        SimulatedCluster cluster = clusterWithService(2);
+        cluster.workerOf(ID + "/0").freeze(true);
+        cluster.clock.passSeconds(cancelAfterSeconds);
+        assertEquals("cancelled", cluster.cancel("n0", ID).state());
+        cluster.clock.passSeconds(4);
+        long reachable = cluster.workers.values().stream()
                 .filter(worker -> !worker.isFrozen())
-                .mapToLong(worker -> replicas(world).stream()
-                        .filter(task -> world.workerOf(task) == worker)
+                .mapToLong(worker -> runningReplicas(cluster).stream()
+                        .filter(task -> cluster.workerOf(task) == worker)
                         .count())
                 .sum();
-        assertEquals(0, reachable, "at once where they can be reached");
-        world.clock.passSeconds(30);
-        assertEquals(0, world.runningTasks());
-        assertEquals(0, world.startsAfterCancellation());
+        assertEquals(0, reachable, "replicas on reachable machines stop at once");
+        cluster.clock.passSeconds(30);
+        assertEquals(0, cluster.runningTasks());
+        assertEquals(0, cluster.startsAfterCancellation());
     }
 
     @Test
-    void neverDoneNotEvenWhenAllReplicasEnd() {
-        SimulatedCluster world = served(2);
-        world.runMicros.put(ID, 12_000_000L);
-        world.cloud.capacity = 8;
-        FakeWorker worker = world.workerOf(ID + "/1");
-        world.restartMachine(worker.machine().name());
-        world.clock.passSeconds(90);
-        assertTrue(starts(world) > 8, world.starts.toString());
-        assertEquals("running", world.poll("n1", ID).state());
-        assertEquals(200, world.submit("n0", service()).status());
-        world.killNode(world.leader());
-        world.clock.passSeconds(12);
-        assertNotEquals("done", world.poll(world.leader(), ID).state());
-        assertEquals("cancelled", world.cancel(world.leader(), ID).state());
-        assertEquals("cancelled", world.cancel(world.leader(), ID).state());
-        world.clock.passSeconds(20);
-        assertEquals(0, world.runningTasks());
-        assertNotNull(world.store.value("final/" + ID));
-        assertEquals("cancelled", world.submit(world.leader(), service()).state());
+    void serviceIsNeverDoneEvenWhenAllReplicasEnd() {
+        SimulatedCluster cluster = clusterWithService(2);
+        cluster.runMicros.put(ID, 12_000_000L);
+        cluster.cloud.capacity = 8;
+        FakeWorker worker = cluster.workerOf(ID + "/1");
+        cluster.restartMachine(worker.machine().name());
+        cluster.clock.passSeconds(90);
+        assertTrue(totalStarts(cluster) > 8, cluster.starts.toString());
+        assertEquals("running", cluster.poll("n1", ID).state());
+        assertEquals(200, cluster.submit("n0", serviceBody()).status());
+        cluster.killNode(cluster.leader());
+        cluster.clock.passSeconds(12);
+        assertNotEquals("done", cluster.poll(cluster.leader(), ID).state());
+        assertEquals("cancelled", cluster.cancel(cluster.leader(), ID).state());
+        assertEquals("cancelled", cluster.cancel(cluster.leader(), ID).state());
+        cluster.clock.passSeconds(20);
+        assertEquals(0, cluster.runningTasks());
+        assertNotNull(cluster.store.value("final/" + ID));
+        assertEquals(
+                "cancelled", cluster.submit(cluster.leader(), serviceBody()).state());
     }
 
     @ParameterizedTest
     @ValueSource(longs = {-1, 200_000})
-    void aReplicaThatAlwaysEndsBacksOffAndStaysKnown(long runMicros) {
-        SimulatedCluster world = SimulatedCluster.settled(1);
-        world.runMicros.put(ID, runMicros);
-        assertEquals(201, world.submit("n0", service("beads", 1)).status());
-        world.clock.passSeconds(150);
-        assertTrue(world.starts.get(ID + "/0") < 16, world.starts.toString());
-        assertEquals(200, world.poll("n0", ID).status());
-        world.runMicros.put(ID, Long.MAX_VALUE);
-        world.clock.passSeconds(62);
-        assertEquals(1, replicas(world).size(), "tried again within the time that a job may wait");
+    void replicaThatKeepsEndingIsRetriedWithBackoff(long runMicros) {
+        SimulatedCluster cluster = SimulatedCluster.settled(1);
+        cluster.runMicros.put(ID, runMicros);
+        assertEquals(201, cluster.submit("n0", serviceBody("beads", 1)).status());
+        cluster.clock.passSeconds(150);
+        assertTrue(cluster.starts.get(ID + "/0") < 16, cluster.starts.toString());
+        assertEquals(200, cluster.poll("n0", ID).status());
+        cluster.runMicros.put(ID, Long.MAX_VALUE);
+        cluster.clock.passSeconds(62);
+        assertEquals(1, runningReplicas(cluster).size(), "the replica is retried within the maximum backoff");
     }
 
     @Test
-    void lowerPrioritiesGiveWay() {
-        SimulatedCluster world = SimulatedCluster.settled(1);
-        world.cloud.addUnrequested("large", "a", false);
-        world.cloud.capacity = 1;
-        world.clock.passSeconds(7);
-        world.runMicros.put("req-000002", 300_000_000L);
-        world.submit("n0", jobBody("req-000002", "rank", "idle", "beads", 8));
-        world.clock.passSeconds(4);
-        world.runMicros.put(ID, Long.MAX_VALUE);
-        world.submit("n0", service());
-        awaitReplicas(world, 4, 4);
+    void servicePreemptsLowerPriorities() {
+        SimulatedCluster cluster = SimulatedCluster.settled(1);
+        cluster.cloud.addUnrequested("large", "a", false);
+        cluster.cloud.capacity = 1;
+        cluster.clock.passSeconds(7);
+        cluster.runMicros.put("req-000002", 300_000_000L);
+        cluster.submit("n0", jobBody("req-000002", "rank", "idle", "beads", 8));
+        cluster.clock.passSeconds(4);
+        cluster.runMicros.put(ID, Long.MAX_VALUE);
+        cluster.submit("n0", serviceBody());
+        awaitReplicas(cluster, 4, 4);
     }
 
     @Test
-    void itsTeamsLowerPrioritiesGiveWayAtTheTeamsLimit() {
-        SimulatedCluster world = SimulatedCluster.settled(1);
-        world.cloud.addUnrequested("large", "a", false);
-        world.clock.passSeconds(7);
-        world.runMicros.put("req-000002", 300_000_000L);
-        world.submit("n0", jobBody("req-000002", "rank", "idle", "beads", 8, "crew", "capped"));
-        world.clock.passSeconds(4);
-        assertEquals(4, world.runningTasks(), "the team is at its limit of 8 CPUs");
-        world.runMicros.put(ID, Long.MAX_VALUE);
-        world.submit("n0", service("crew", "capped"));
-        awaitReplicas(world, 4, 5);
+    void servicePreemptsItsTeamsLowerPrioritiesAtTheTeamLimit() {
+        SimulatedCluster cluster = SimulatedCluster.settled(1);
+        cluster.cloud.addUnrequested("large", "a", false);
+        cluster.clock.passSeconds(7);
+        cluster.runMicros.put("req-000002", 300_000_000L);
+        cluster.submit("n0", jobBody("req-000002", "rank", "idle", "beads", 8, "crew", "capped"));
+        cluster.clock.passSeconds(4);
+        assertEquals(4, cluster.runningTasks(), "the team is at its limit of 8 CPUs");
+        cluster.runMicros.put(ID, Long.MAX_VALUE);
+        cluster.submit("n0", serviceBody("crew", "capped"));
+        awaitReplicas(cluster, 4, 5);
     }
 
     @Test
-    void allReplicasTogetherHaveToFitTheTeamsLimit() {
-        SimulatedCluster world = SimulatedCluster.settled(1);
+    void serviceLargerThanItsTeamLimitIsRejected() {
+        SimulatedCluster cluster = SimulatedCluster.settled(1);
         assertEquals(
-                422, world.submit("n0", service("crew", "capped", "beads", 9)).status());
-        assertEquals(422, world.submit("n0", service("cpus", 17.0)).status());
-        assertEquals(400, world.submit("n0", service("expected_s", -1.0)).status());
-        assertEquals(400, world.submit("n0", service("shape", "daemon")).status());
-        assertEquals(404, world.poll("n0", ID).status());
+                422,
+                cluster.submit("n0", serviceBody("crew", "capped", "beads", 9)).status());
+        assertEquals(422, cluster.submit("n0", serviceBody("cpus", 17.0)).status());
+        assertEquals(400, cluster.submit("n0", serviceBody("expected_s", -1.0)).status());
+        assertEquals(400, cluster.submit("n0", serviceBody("shape", "daemon")).status());
+        assertEquals(404, cluster.poll("n0", ID).status());
         assertEquals(
-                201, world.submit("n0", service("crew", "capped", "beads", 8)).status());
+                201,
+                cluster.submit("n0", serviceBody("crew", "capped", "beads", 8)).status());
     }
 }
--- a/src/test/java/org/weldcourse/app/TeamLimitAcrossLeadersTest.java
+++ b/src/test/java/org/weldcourse/app/TeamLimitAcrossLeadersTest.java
@@ -13,68 +13,71 @@
 import org.weldcourse.settings.Settings;
 import org.weldcourse.simulation.SimulatedCluster;
 
-/** A team's limit when leaders change; the world fails a test in which a team runs more than its limit. */
+/**
+ * Guards against exceeded team limits after leader changes. The simulated cluster fails a test in which that occurs.
+ */
 class TeamLimitAcrossLeadersTest {
     private static final double LIMIT = 8;
     private static final List<Settings.Team> TEAMS = List.of(new Settings.Team("capped", 0, LIMIT, 0, 0));
 
     /**
-     * Displaced tasks stay on record until their job is admitted anew. When their machine forgot that they exited, a new
-     * leader took them for admitted tasks that had never been told to run, and started them beside what had displaced them.
+     * Preempted tasks stay recorded until their job is admitted again. When their machine no longer reported that they
+     * had exited, a new leader took them for admitted tasks that were never started, and started them beside the gang
+     * that had preempted them.
      */
     @ParameterizedTest
     @EnumSource(OperatorSettings.TeamLimitSource.class)
-    void preemptedTasksAreNotStartedBesideWhatPreemptedThem(OperatorSettings.TeamLimitSource teamLimits) {
-        SimulatedCluster world = new SimulatedCluster(3, 16, 32 * 1024, TEAMS, teamLimits);
-        world.clock.passSeconds(2);
-        world.cloud.addUnrequested("large", "a", false);
-        world.cloud.capacity = 1;
-        world.clock.passSeconds(7);
-        world.runMicros.put("req-000001", 60_000_000L);
-        world.runMicros.put("req-000002", 20_000_000L);
-        world.submit("n0", jobBody("req-000001", "crew", "capped", "rank", "normal"));
-        world.clock.passSeconds(4);
-        assertEquals(4, world.runningTasks());
-        world.submit("n1", jobBody("req-000002", "crew", "capped", "rank", "urgent", "shape", "ensemble"));
-        for (int i = 0; i < 100 && world.workerOf("req-000002/0") == null; i++) {
-            world.clock.pass(100_000);
+    void preemptedTasksAreNotStartedBesideTheGangThatPreemptedThem(OperatorSettings.TeamLimitSource teamLimits) {
+        SimulatedCluster cluster = new SimulatedCluster(3, 16, 32 * 1024, TEAMS, teamLimits);
+        cluster.clock.passSeconds(2);
+        cluster.cloud.addUnrequested("large", "a", false);
+        cluster.cloud.capacity = 1;
+        cluster.clock.passSeconds(7);
+        cluster.runMicros.put("req-000001", 60_000_000L);
+        cluster.runMicros.put("req-000002", 20_000_000L);
+        cluster.submit("n0", jobBody("req-000001", "crew", "capped", "rank", "normal"));
+        cluster.clock.passSeconds(4);
+        assertEquals(4, cluster.runningTasks());
+        cluster.submit("n1", jobBody("req-000002", "crew", "capped", "rank", "urgent", "shape", "ensemble"));
+        for (int i = 0; i < 100 && cluster.workerOf("req-000002/0") == null; i++) {
+            cluster.clock.pass(100_000);
         }
-        assertNotNull(world.workerOf("req-000002/0"), "the gang has displaced the array");
-        assertEquals(4, world.runningTasks());
-        String machine = world.workerOf("req-000002/0").machine().name();
-        world.workers.get(machine).freeze(true);
-        world.killNode(world.leader());
-        world.clock.pass(SimulatedCluster.LEASE_MICROS + 1_000_000);
-        world.workers.get(machine).freeze(false);
-        assertEquals(0, world.runningTasks(), "its lease ran out");
-        String node = world.alive().get(0);
-        assertTrue(world.reaches(node, "req-000002", "done", 200));
-        assertTrue(world.reaches(node, "req-000001", "done", 300));
+        assertNotNull(cluster.workerOf("req-000002/0"), "the gang has preempted the array");
+        assertEquals(4, cluster.runningTasks());
+        String machine = cluster.workerOf("req-000002/0").machine().name();
+        cluster.workers.get(machine).freeze(true);
+        cluster.killNode(cluster.leader());
+        cluster.clock.pass(SimulatedCluster.LEASE_MICROS + 1_000_000);
+        cluster.workers.get(machine).freeze(false);
+        assertEquals(0, cluster.runningTasks(), "the worker's lease has expired");
+        String node = cluster.alive().get(0);
+        assertTrue(cluster.reaches(node, "req-000002", "done", 200));
+        assertTrue(cluster.reaches(node, "req-000001", "done", 300));
     }
 
     @Test
-    void theLimitIsReachedButNeverExceededWhileLeadersChange() {
-        SimulatedCluster world =
+    void limitIsReachedButNotExceededWhileLeadersChange() {
+        SimulatedCluster cluster =
                 new SimulatedCluster(3, 16, 32 * 1024, TEAMS, OperatorSettings.TeamLimitSource.RECORDED);
-        world.clock.passSeconds(2);
-        int most = 0;
+        cluster.clock.passSeconds(2);
+        int maxRunningTasks = 0;
         for (int i = 1; i <= 6; i++) {
             String id = String.format("req-%06d", i);
             assertEquals(
                     201,
-                    world.submit(world.alive().get(0), jobBody(id, "crew", "capped"))
+                    cluster.submit(cluster.alive().get(0), jobBody(id, "crew", "capped"))
                             .status());
         }
         for (int i = 0; i < 600; i++) {
-            world.clock.pass(200_000);
-            most = Math.max(most, world.runningTasks());
+            cluster.clock.pass(200_000);
+            maxRunningTasks = Math.max(maxRunningTasks, cluster.runningTasks());
             if (i == 100) {
-                world.killNode(world.leader());
+                cluster.killNode(cluster.leader());
             }
         }
-        assertEquals(LIMIT / 2, most);
+        assertEquals(LIMIT / 2, maxRunningTasks);
         for (int i = 1; i <= 6; i++) {
-            assertTrue(world.reaches(world.alive().get(0), String.format("req-%06d", i), "done", 100));
+            assertTrue(cluster.reaches(cluster.alive().get(0), String.format("req-%06d", i), "done", 100));
         }
     }
 }
--- a/src/test/java/org/weldcourse/app/UnreachableMachinesWithServicesTest.java
+++ b/src/test/java/org/weldcourse/app/UnreachableMachinesWithServicesTest.java
@@ -1,6 +1,6 @@
 package org.weldcourse.app;
 
-/** The scripts of {@link UnreachableMachinesTest} with a service in place of each array. */
+/** The scenarios of {@link UnreachableMachinesTest} with a service in place of each array. */
 class UnreachableMachinesWithServicesTest extends UnreachableMachinesTest {
     @Override
     boolean arraysAreServices() {
--- a/src/test/java/org/weldcourse/app/WarmUpTest.java
+++ b/src/test/java/org/weldcourse/app/WarmUpTest.java
@@ -9,22 +9,22 @@
 import org.junit.jupiter.api.Test;
 import org.weldcourse.simulation.DeployedProgram;
 
-/** The build's warm-up, whose ports may be taken between the look and the use. */
+/** Guards against a failed warm-up when another program takes one of its ports between the check and the bind. */
 class WarmUpTest {
     private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
 
     @Test
-    void aPortThatWasJustTakenIsNotTheEndOfTheWarmUp() throws Exception {
+    void warmUpRetriesWhenAPortIsTaken() throws Exception {
         try (ServerSocket taken = new ServerSocket(0, 1, LOOPBACK)) {
-            int[] asked = new int[1];
-            WarmUp.run(() -> asked[0]++ < 2 ? taken.getLocalPort() : DeployedProgram.freePort());
-            // Three ports and one for the warm-up's settings: the first try ended at the first listener.
-            assertEquals(7, asked[0]);
+            int[] portRequests = new int[1];
+            WarmUp.run(() -> portRequests[0]++ < 2 ? taken.getLocalPort() : DeployedProgram.freePort());
+            // The first attempt takes three ports and fails at its first listener; the second takes four.
+            assertEquals(7, portRequests[0]);
         }
     }
 
     @Test
-    void itGivesUpWhenNoPortIsEverFree() throws Exception {
+    void warmUpFailsWhenNoPortIsFree() throws Exception {
         try (ServerSocket taken = new ServerSocket(0, 1, LOOPBACK)) {
             assertThrows(BindException.class, () -> WarmUp.run(taken::getLocalPort));
         }
