--- a/src/test/java/org/weldcourse/app/RandomFaultsTest.java
+++ b/src/test/java/org/weldcourse/app/RandomFaultsTest.java
@@ -283,8 +283,8 @@
             for (int i = 0; i < 3 && !heartbeats.isEmpty(); i++) {
                 Map<String, Object> copy =
                         heartbeats.get(heartbeats.size() - 1 - random.nextInt(Math.min(20, heartbeats.size())));
-                schedule(
-                        1, 20_000_000, () -> cluster.alive().forEach(node -> cluster.postAsync(node, "/checkin", copy)));
+                schedule(1, 20_000_000, () -> cluster.alive()
+                        .forEach(node -> cluster.postAsync(node, "/checkin", copy)));
             }
         }
 
--- a/src/test/java/org/weldcourse/app/UnreachableMachinesTest.java
+++ b/src/test/java/org/weldcourse/app/UnreachableMachinesTest.java
@@ -218,8 +218,7 @@
         for (int i = 0; i < 60; i++) {
             Map<String, Object> copy = copies.get((i * 7) % copies.size());
             for (String node : cluster.alive()) {
-                accepted +=
-                        cluster.request(node, "POST", "/checkin", Json.bytes(copy))
+                accepted += cluster.request(node, "POST", "/checkin", Json.bytes(copy))
                                         .status()
                                 == 200
                         ? 1
