--- a/src/test/java/org/weldcourse/app/OutstandingTasksTest.java
+++ b/src/test/java/org/weldcourse/app/OutstandingTasksTest.java
@@ -67,8 +67,8 @@
     }
 
     /**
-     * A gang job is done as soon as one of its tasks is done. Another task may remain on a machine that hangs, and a leader
-     * elected meanwhile has to count it.
+     * A gang job is done as soon as one of its tasks is done. Another task may remain on a machine that hangs, and a
+     * leader elected meanwhile has to count it.
      */
     @Test
     void taskOfAFinishedGangCountsWhileItsMachineHangs() {
