--- a/src/test/java/org/weldcourse/soak/SoakRun.java
+++ b/src/test/java/org/weldcourse/soak/SoakRun.java
@@ -94,7 +94,8 @@
             if (settings.machines() >= LARGE_FLEET_MACHINES) {
                 startLargeFleet();
             }
-            cluster.invariants().addStartListener((task, attempt) -> logEvent("start of " + task + " attempt " + attempt));
+            cluster.invariants()
+                    .addStartListener((task, attempt) -> logEvent("start of " + task + " attempt " + attempt));
             return null;
         });
         for (String name : cluster.names()) {
@@ -184,13 +185,15 @@
                 checkJobsAreAnswered(unfinished, submissionsEndMicros);
                 return null;
             });
-            int progress = cluster.callOnEventLoop(() -> cluster.invariants().starts.size() * 1_000 - unfinished.size());
+            int progress =
+                    cluster.callOnEventLoop(() -> cluster.invariants().starts.size() * 1_000 - unfinished.size());
             if (progress != previousProgress) {
                 previousProgress = progress;
                 lastProgressMillis = System.currentTimeMillis();
             } else if (System.currentTimeMillis() - lastProgressMillis > PROGRESS_TIMEOUT_MILLIS) {
-                throw new AssertionError("no new task starts and no job ends; unfinished jobs: " + unfinished
-                        + "; records: " + cluster.callOnEventLoop(() -> cluster.state().keys("")));
+                throw new AssertionError(
+                        "no new task starts and no job ends; unfinished jobs: " + unfinished + "; records: "
+                                + cluster.callOnEventLoop(() -> cluster.state().keys("")));
             }
             Thread.sleep(300);
         }
