--- a/src/main/java/org/weldcourse/workers/WorkerCommand.java
+++ b/src/main/java/org/weldcourse/workers/WorkerCommand.java
@@ -3,7 +3,7 @@
 /**
  * A command for a worker about one attempt of a task. Workers execute commands in the order in which they are listed.
  *
- * @param gracePeriodMicros for {@link ConstraintKey#STOP}: the time that the task has to save a checkpoint; 0 ends it at once
+ * @param gracePeriodMicros for {@link Kind#STOP}: the time that the task has to save a checkpoint; 0 ends it at once
  */
 public record WorkerCommand(Kind kind, TaskId task, int attempt, long gracePeriodMicros) {
     /** The kind of command. */
