--- a/src/test/java/org/weldcourse/simulation/ClusterInvariants.java
+++ b/src/test/java/org/weldcourse/simulation/ClusterInvariants.java
@@ -27,23 +27,23 @@
     public final Map<String, Integer> starts = new HashMap<>();
     public final Map<String, Map<String, Object>> jobs = new HashMap<>();
     public final Map<String, Long> runMicros = new HashMap<>();
-    private final Map<String, FakeWorker> running = new HashMap<>();
+    private final Map<String, FakeWorker> workerByRunningTask = new HashMap<>();
     private final Map<String, Long> cancelledMicros = new HashMap<>();
-    private final Set<String> completed = new HashSet<>();
+    private final Set<String> completedTasks = new HashSet<>();
     /** The latest that any node told of a job. */
-    private final Map<String, String> told = new HashMap<>();
+    private final Map<String, String> reportedStates = new HashMap<>();
 
     /** How long the image of a job's tasks takes, where it is not there at once. */
     public final Map<String, Long> fetchMicros = new HashMap<>();
 
-    private final FakeClock time;
+    private final FakeClock clock;
     private final List<Settings.Team> teams;
     private final long cancelMicros;
     private BiConsumer<String, Integer> setStartListener = (task, attempt) -> {};
     private int startsAfterCancellation;
 
-    public ClusterInvariants(FakeClock time, List<Settings.Team> teams, long cancelMicros) {
-        this.time = time;
+    public ClusterInvariants(FakeClock clock, List<Settings.Team> teams, long cancelMicros) {
+        this.clock = clock;
         this.teams = teams;
         this.cancelMicros = cancelMicros;
     }
@@ -60,7 +60,7 @@
 
     /** The latest that any node told of the job, or null. */
     public String lastReportedState(String id) {
-        return told.get(id);
+        return reportedStates.get(id);
     }
 
     /** Fails when an answer is older than what was told before its question, or is not true. */
@@ -82,10 +82,10 @@
             checkDone(id);
         }
         if ("cancelled".equals(answer.state())) {
-            cancelledMicros.putIfAbsent(id, time.nowMicros());
+            cancelledMicros.putIfAbsent(id, clock.nowMicros());
         }
-        if (over || !told.containsKey(id)) {
-            told.put(id, over ? answer.state() : "open");
+        if (over || !reportedStates.containsKey(id)) {
+            reportedStates.put(id, over ? answer.state() : "open");
         }
         return answer;
     }
@@ -101,23 +101,23 @@
     /** Whether the task is done; all tasks of a gang are with whichever of them is the first. */
     public boolean isTaskDone(String id, int task) {
         return isGang(id)
-                ? completed.stream().anyMatch(done -> done.startsWith(id + "/"))
-                : completed.contains(id + "/" + task);
+                ? completedTasks.stream().anyMatch(done -> done.startsWith(id + "/"))
+                : completedTasks.contains(id + "/" + task);
     }
 
     /** A job that was accepted, and partly done, before this world began: its record holds the user's words. */
     public void addExistingJob(Map<String, Object> record, BitSet done) {
         String id = Json.text(record, "name_id");
         jobs.put(id, record);
-        told.put(id, "open");
-        done.stream().forEach(task -> completed.add(id + "/" + task));
+        reportedStates.put(id, "open");
+        done.stream().forEach(task -> completedTasks.add(id + "/" + task));
     }
 
     /** Fails when a task of a cancelled job is still somewhere after the time that the rules allow. */
     public void checkCancelled() {
         cancelledMicros.forEach((id, at) -> {
-            for (String task : running.keySet()) {
-                if (task.startsWith(id + "/") && time.nowMicros() > at + cancelMicros) {
+            for (String task : workerByRunningTask.keySet()) {
+                if (task.startsWith(id + "/") && clock.nowMicros() > at + cancelMicros) {
                     throw new AssertionError("ran_cancelled: " + task);
                 }
             }
@@ -125,7 +125,7 @@
     }
 
     public FakeWorker workerOf(String task) {
-        return running.get(task);
+        return workerByRunningTask.get(task);
     }
 
     public int startsAfterCancellation() {
@@ -133,11 +133,11 @@
     }
 
     public boolean hasCompleted(String task) {
-        return completed.contains(task);
+        return completedTasks.contains(task);
     }
 
     public int runningTasks() {
-        return running.size();
+        return workerByRunningTask.size();
     }
 
     @Override
@@ -152,7 +152,7 @@
     }
 
     @Override
-    public boolean startsWithGang(String task) {
+    public boolean isGangTask(String task) {
         return jobs.containsKey(jobOf(task)) && isGang(jobOf(task));
     }
 
@@ -161,13 +161,13 @@
     }
 
     @Override
-    public void started(FakeWorker worker, String task, int attempt) {
+    public void taskStarted(FakeWorker worker, String task, int attempt) {
         String id = jobOf(task);
-        if (running.containsKey(task)) {
+        if (workerByRunningTask.containsKey(task)) {
             throw new AssertionError("ran_twice: " + task);
         }
         Long cancelled = cancelledMicros.get(id);
-        if (cancelled != null && time.nowMicros() > cancelled + cancelMicros) {
+        if (cancelled != null && clock.nowMicros() > cancelled + cancelMicros) {
             throw new AssertionError("ran_cancelled: " + task);
         }
         startsAfterCancellation += cancelled == null ? 0 : 1;
@@ -175,8 +175,8 @@
         if (job == null) {
             throw new AssertionError("a task of no job: " + task);
         }
-        checkPlace(job, id, worker);
-        running.put(task, worker);
+        checkPlacement(job, id, worker);
+        workerByRunningTask.put(task, worker);
         starts.merge(task, 1, Integer::sum);
         checkQuota();
         setStartListener.accept(task, attempt);
@@ -186,14 +186,14 @@
     }
 
     private void startGangIfComplete(String id, int attempt) {
-        List<String> mates = tasksOf(id);
-        for (String mate : mates) {
-            FakeWorker worker = running.get(mate);
-            if (worker == null || worker.tasks().attempt(mate) != attempt) {
+        List<String> members = tasksOf(id);
+        for (String member : members) {
+            FakeWorker worker = workerByRunningTask.get(member);
+            if (worker == null || worker.tasks().attempt(member) != attempt) {
                 return;
             }
         }
-        mates.forEach(mate -> running.get(mate).tasks().gangStarts(mate));
+        members.forEach(member -> workerByRunningTask.get(member).tasks().startWithGang(member));
     }
 
     private List<String> tasksOf(String id) {
@@ -205,13 +205,13 @@
     }
 
     @Override
-    public void hung(FakeWorker worker) {
+    public void machineFrozen(FakeWorker worker) {
         for (String task : worker.presentTasks()) {
-            if (startsWithGang(task)) {
+            if (isGangTask(task)) {
                 int attempt = worker.tasks().attempt(task);
-                time.after(GANG_PEER_MICROS, () -> {
+                clock.after(GANG_PEER_MICROS, () -> {
                     if (worker.isFrozenFor(GANG_PEER_MICROS)) {
-                        gangMembersGiveUp(jobOf(task), attempt);
+                        failGangMembers(jobOf(task), attempt);
                     }
                 });
             }
@@ -219,26 +219,26 @@
     }
 
     /** The tasks of the gang that still run give up. */
-    private void gangMembersGiveUp(String id, int attempt) {
+    private void failGangMembers(String id, int attempt) {
         if (isTaskDone(id, 0)) {
             return;
         }
-        for (String mate : tasksOf(id)) {
-            FakeWorker worker = running.get(mate);
+        for (String member : tasksOf(id)) {
+            FakeWorker worker = workerByRunningTask.get(member);
             if (worker != null) {
-                worker.tasks().gangMemberLost(mate, attempt);
+                worker.tasks().gangMemberLost(member, attempt);
             }
         }
     }
 
-    private void checkPlace(Map<String, Object> job, String id, FakeWorker worker) {
+    private void checkPlacement(Map<String, Object> job, String id, FakeWorker worker) {
         FakeCloud.RentedMachine at = worker.machine();
         boolean wrong = job.get("rigs") != null && !Json.list(job.get("rigs")).contains(at.type())
                 || job.get("yard") != null && !job.get("yard").equals(at.zone())
                 || !Json.flag(job, "loaners") && at.spot();
         Set<String> zones = new HashSet<>();
         int sameZone = 1;
-        for (Map.Entry<String, FakeWorker> entry : running.entrySet()) {
+        for (Map.Entry<String, FakeWorker> entry : workerByRunningTask.entrySet()) {
             if (entry.getKey().startsWith(id + "/")) {
                 String zone = entry.getValue().machine().zone();
                 zones.add(zone);
@@ -264,7 +264,7 @@
     private void checkQuota(Settings.Team team) {
         double cpus = 0;
         double gpus = 0;
-        for (String task : running.keySet()) {
+        for (String task : workerByRunningTask.keySet()) {
             Map<String, Object> job = jobs.get(jobOf(task));
             if (team.name().equals(Json.text(job, "crew"))) {
                 cpus += Json.decimal(job, "cpus", 0);
@@ -273,34 +273,34 @@
         }
         if (cpus > team.cpusMax() + ROUNDING || gpus > team.gpusMax() + ROUNDING) {
             throw new AssertionError("quota: " + team.name() + " uses " + cpus + " CPUs and " + gpus + " GPUs with "
-                    + new TreeSet<>(running.keySet()));
+                    + new TreeSet<>(workerByRunningTask.keySet()));
         }
     }
 
     @Override
-    public void ended(FakeWorker worker, String task) {
-        if (!running.remove(task, worker) || !startsWithGang(task)) {
+    public void taskEnded(FakeWorker worker, String task) {
+        if (!workerByRunningTask.remove(task, worker) || !isGangTask(task)) {
             return;
         }
         String id = jobOf(task);
-        for (String mate : tasksOf(id)) {
-            FakeWorker other = running.get(mate);
+        for (String member : tasksOf(id)) {
+            FakeWorker other = workerByRunningTask.get(member);
             if (other != null) {
-                int attempt = other.tasks().attempt(mate);
-                time.after(GANG_PEER_MICROS, () -> gangMembersGiveUp(id, attempt));
+                int attempt = other.tasks().attempt(member);
+                clock.after(GANG_PEER_MICROS, () -> failGangMembers(id, attempt));
                 return;
             }
         }
     }
 
     @Override
-    public void completed(String task) {
-        completed.add(task);
+    public void taskCompleted(String task) {
+        completedTasks.add(task);
         String id = task.substring(0, task.indexOf('/'));
         if (isGang(id)) {
-            for (Map.Entry<String, FakeWorker> mate : new ArrayList<>(running.entrySet())) {
-                if (mate.getKey().startsWith(id + "/")) {
-                    mate.getValue().tasks().completeWithGang(mate.getKey());
+            for (Map.Entry<String, FakeWorker> member : new ArrayList<>(workerByRunningTask.entrySet())) {
+                if (member.getKey().startsWith(id + "/")) {
+                    member.getValue().tasks().completeWithGang(member.getKey());
                 }
             }
         }
@@ -320,8 +320,8 @@
         if (!isGang(id)) {
             return true;
         }
-        for (int mate = 0; mate < Json.integer(jobs.get(id), "beads", 0); mate++) {
-            FakeWorker worker = running.get(id + "/" + mate);
+        for (int member = 0; member < Json.integer(jobs.get(id), "beads", 0); member++) {
+            FakeWorker worker = workerByRunningTask.get(id + "/" + member);
             if (worker == null || worker.isFrozenFor(GANG_PEER_MICROS)) {
                 return false;
             }
--- a/src/test/java/org/weldcourse/simulation/DeployedProgram.java
+++ b/src/test/java/org/weldcourse/simulation/DeployedProgram.java
@@ -16,10 +16,10 @@
 /** The program as {@code deploy/service.toml} starts it. */
 public final class DeployedProgram {
     private static final int LOWEST_PORT = 10_000;
-    private static final int PORTS = 22_000;
-    private static final int MOST_TRIES = 200;
+    private static final int PORT_COUNT = 22_000;
+    private static final int MAX_ATTEMPTS = 200;
     /** One that was handed out may not be listened on yet, or is to be listened on again. */
-    private static final Set<Integer> HANDED_OUT = ConcurrentHashMap.newKeySet();
+    private static final Set<Integer> ALLOCATED_PORTS = ConcurrentHashMap.newKeySet();
 
     private DeployedProgram() {}
 
@@ -42,9 +42,9 @@
      * those could take it while a process that listens on it is down.
      */
     public static int freePort() throws IOException {
-        for (int tries = 0; tries < MOST_TRIES; tries++) {
-            int port = LOWEST_PORT + ThreadLocalRandom.current().nextInt(PORTS);
-            if (!HANDED_OUT.add(port)) {
+        for (int tries = 0; tries < MAX_ATTEMPTS; tries++) {
+            int port = LOWEST_PORT + ThreadLocalRandom.current().nextInt(PORT_COUNT);
+            if (!ALLOCATED_PORTS.add(port)) {
                 continue;
             }
             try (ServerSocket socket = new ServerSocket(port, 1, InetAddress.getByName("127.0.0.1"))) {
--- a/src/test/java/org/weldcourse/simulation/FakeClock.java
+++ b/src/test/java/org/weldcourse/simulation/FakeClock.java
@@ -7,10 +7,10 @@
 
 /** A clock that moves only when told to, and the timers that hang on it. */
 public final class FakeClock implements Clock, Timers {
-    private record Entry(long atMicros, long order, Runnable work, boolean[] off) {}
+    private record ScheduledTask(long atMicros, long order, Runnable work, boolean[] cancelled) {}
 
-    private final PriorityQueue<Entry> queue =
-            new PriorityQueue<>(Comparator.comparingLong(Entry::atMicros).thenComparingLong(Entry::order));
+    private final PriorityQueue<ScheduledTask> queue = new PriorityQueue<>(
+            Comparator.comparingLong(ScheduledTask::atMicros).thenComparingLong(ScheduledTask::order));
     private long nowMicros = 1_000_000;
     private long order;
 
@@ -26,18 +26,18 @@
 
     @Override
     public Timer after(long delayMicros, Runnable work) {
-        boolean[] off = new boolean[1];
-        queue.add(new Entry(nowMicros + Math.max(0, delayMicros), order++, work, off));
-        return () -> off[0] = true;
+        boolean[] cancelled = new boolean[1];
+        queue.add(new ScheduledTask(nowMicros + Math.max(0, delayMicros), order++, work, cancelled));
+        return () -> cancelled[0] = true;
     }
 
     /** Lets time pass and runs what falls due on the way. */
     public void pass(long micros) {
         long endMicros = nowMicros + micros;
         while (!queue.isEmpty() && queue.peek().atMicros <= endMicros) {
-            Entry next = queue.poll();
+            ScheduledTask next = queue.poll();
             nowMicros = Math.max(nowMicros, next.atMicros);
-            if (!next.off[0]) {
+            if (!next.cancelled[0]) {
                 next.work.run();
             }
         }
--- a/src/test/java/org/weldcourse/simulation/FakeCloud.java
+++ b/src/test/java/org/weldcourse/simulation/FakeCloud.java
@@ -16,10 +16,10 @@
     /** A machine as it was rented. */
     public record RentedMachine(String name, String type, String zone, boolean spot) {}
 
-    private final FakeClock time;
+    private final FakeClock clock;
     public long bootMicros;
-    private final Consumer<RentedMachine> up;
-    private final Consumer<String> gone;
+    private final Consumer<RentedMachine> onMachineRunning;
+    private final Consumer<String> onMachineReleased;
     private final TreeMap<String, RentedMachine> machines = new TreeMap<>();
     private final Set<String> running = new HashSet<>();
     private final Map<String, List<String>> requests = new HashMap<>();
@@ -31,11 +31,15 @@
     private int refused;
     public final List<String> released = new ArrayList<>();
 
-    public FakeCloud(FakeClock time, long bootMicros, Consumer<RentedMachine> up, Consumer<String> gone) {
-        this.time = time;
+    public FakeCloud(
+            FakeClock clock,
+            long bootMicros,
+            Consumer<RentedMachine> onMachineRunning,
+            Consumer<String> onMachineReleased) {
+        this.clock = clock;
         this.bootMicros = bootMicros;
-        this.up = up;
-        this.gone = gone;
+        this.onMachineRunning = onMachineRunning;
+        this.onMachineReleased = onMachineReleased;
     }
 
     /** Answers 200 with lists of what nobody asked for. */
@@ -75,11 +79,11 @@
         String name = String.format("m-%06d", machinesCreated++);
         RentedMachine rented = new RentedMachine(name, type, zone, spot);
         machines.put(name, rented);
-        rentedMicros.put(name, time.nowMicros());
-        time.after(bootMicros, () -> {
+        rentedMicros.put(name, clock.nowMicros());
+        clock.after(bootMicros, () -> {
             if (machines.containsKey(name)) {
                 running.add(name);
-                up.accept(rented);
+                onMachineRunning.accept(rented);
             }
         });
         return name;
@@ -108,7 +112,7 @@
                     if (machines.remove(name) != null) {
                         running.remove(name);
                         released.add(name);
-                        gone.accept(name);
+                        onMachineReleased.accept(name);
                     }
                 }
                 reply.send(200, Map.of());
@@ -165,9 +169,9 @@
     }
 
     private void list(Server.Reply reply) {
-        List<Object> forges = new ArrayList<>();
+        List<Object> listed = new ArrayList<>();
         for (RentedMachine rented : machines.values()) {
-            forges.add(Json.of(
+            listed.add(Json.of(
                     "name_id",
                     rented.name,
                     "addr",
@@ -181,8 +185,8 @@
                     "heat",
                     running.contains(rented.name) ? "running" : "starting",
                     "held_s",
-                    (time.nowMicros() - rentedMicros.get(rented.name)) / 1e6));
+                    (clock.nowMicros() - rentedMicros.get(rented.name)) / 1e6));
         }
-        reply.send(200, Json.of("forges", forges, "has_next", false));
+        reply.send(200, Json.of("forges", listed, "has_next", false));
     }
 }
--- a/src/test/java/org/weldcourse/simulation/FakeNetwork.java
+++ b/src/test/java/org/weldcourse/simulation/FakeNetwork.java
@@ -10,14 +10,14 @@
 
 /** Carries requests between scripted peers. Addresses can be cut off, and answers can be lost. */
 public final class FakeNetwork {
-    private static final long TRIP_MICROS = 1_000;
+    private static final long ONE_WAY_MICROS = 1_000;
 
-    private final FakeClock time;
-    private final Map<String, Server.Handler> hosts = new HashMap<>();
+    private final FakeClock clock;
+    private final Map<String, Server.Handler> handlers = new HashMap<>();
     private final Set<String> cuts = new HashSet<>();
-    private final Set<String> deaf = new HashSet<>();
+    private final Set<String> lostResponseCallers = new HashSet<>();
     private final Set<String> refusals = new HashSet<>();
-    private final Map<String, Long> slowMicros = new HashMap<>();
+    private final Map<String, Long> latencyMicros = new HashMap<>();
     private FaultInjection faults = (from, call) -> NORMAL;
 
     /** What becomes of a call: normal, carried out at once with its answer lost, or after so long with no answer. */
@@ -33,8 +33,8 @@
         return NORMAL - micros;
     }
 
-    public void injectFaults(FaultInjection injected) {
-        faults = injected;
+    public void injectFaults(FaultInjection newFaults) {
+        faults = newFaults;
     }
 
     /** One caller alone gets 503 from an address; the watches that it has open there wait. */
@@ -48,19 +48,19 @@
 
     /** Every call to the address takes so much longer to arrive. */
     public void setLatency(String to, long micros) {
-        slowMicros.put(to, micros);
+        latencyMicros.put(to, micros);
     }
 
-    public FakeNetwork(FakeClock time) {
-        this.time = time;
+    public FakeNetwork(FakeClock clock) {
+        this.clock = clock;
     }
 
     public void host(String address, Server.Handler handler) {
-        hosts.put(address, handler);
+        handlers.put(address, handler);
     }
 
     public void remove(String address) {
-        hosts.remove(address);
+        handlers.remove(address);
     }
 
     /** Requests from one to the other get lost without a word. */
@@ -75,48 +75,49 @@
     /** Requests from this caller are carried out, but no answer comes back. */
     public void loseResponses(String from, boolean lose) {
         if (lose) {
-            deaf.add(from);
+            lostResponseCallers.add(from);
         } else {
-            deaf.remove(from);
+            lostResponseCallers.remove(from);
         }
     }
 
     public HttpClient client(String from) {
-        return (call, done) -> {
-            boolean[] finished = new boolean[1];
-            String way = from + ">" + call.address();
-            long fate = faults.of(from, call);
-            time.after(call.timeoutMicros(), () -> finish(finished, done, HttpClient.Response.NO_RESPONSE));
-            long tripMicros = TRIP_MICROS + slowMicros.getOrDefault(call.address(), 0L) + Math.max(0, fate);
-            time.after(tripMicros, () -> {
-                if (cuts.contains(way)) {
+        return (call, callback) -> {
+            boolean[] completed = new boolean[1];
+            String link = from + ">" + call.address();
+            long outcome = faults.of(from, call);
+            clock.after(call.timeoutMicros(), () -> completeOnce(completed, callback, HttpClient.Response.NO_RESPONSE));
+            long delayMicros = ONE_WAY_MICROS + latencyMicros.getOrDefault(call.address(), 0L) + Math.max(0, outcome);
+            clock.after(delayMicros, () -> {
+                if (cuts.contains(link)) {
                     return;
                 }
-                if (refusals.contains(way)) {
-                    finish(finished, done, new HttpClient.Response(503, Map.of()));
+                if (refusals.contains(link)) {
+                    completeOnce(completed, callback, new HttpClient.Response(503, Map.of()));
                     return;
                 }
-                Server.Handler handler = hosts.get(call.address());
+                Server.Handler handler = handlers.get(call.address());
                 if (handler == null) {
-                    finish(finished, done, HttpClient.Response.NOT_SENT);
+                    completeOnce(completed, callback, HttpClient.Response.NOT_SENT);
                     return;
                 }
                 byte[] body = call.body() == null ? new byte[0] : Json.bytes(call.body());
                 handler.handle(
-                        new Server.Request(call.method(), call.path(), body), (status, answer, retryAfterSeconds) -> {
+                        new Server.Request(call.method(), call.path(), body), (status, response, retryAfterSeconds) -> {
                             // Through bytes, so that no object is shared between the two sides.
-                            byte[] bytes = Json.bytes(answer);
+                            byte[] bytes = Json.bytes(response);
                             if (call.path().equals("/checkin") && bytes.length > 64 * 1024) {
                                 throw new AssertionError("an answer of " + bytes.length + " bytes to a worker");
                             }
                             Map<String, Object> copy = Json.objectOrEmpty(bytes);
-                            time.after(TRIP_MICROS + Math.max(0, NORMAL - fate), () -> {
-                                boolean lost = deaf.contains(from)
-                                        || cuts.contains(way)
-                                        || fate >= 0
-                                        || refusals.contains(way) && call.path().startsWith("/watch");
+                            clock.after(ONE_WAY_MICROS + Math.max(0, NORMAL - outcome), () -> {
+                                boolean lost = lostResponseCallers.contains(from)
+                                        || cuts.contains(link)
+                                        || outcome >= 0
+                                        || refusals.contains(link)
+                                                && call.path().startsWith("/watch");
                                 if (!lost) {
-                                    finish(finished, done, new HttpClient.Response(status, copy));
+                                    completeOnce(completed, callback, new HttpClient.Response(status, copy));
                                 }
                             });
                         });
@@ -124,10 +125,10 @@
         };
     }
 
-    private static void finish(boolean[] finished, HttpClient.Callback done, HttpClient.Response answer) {
-        if (!finished[0]) {
-            finished[0] = true;
-            done.accept(answer);
+    private static void completeOnce(boolean[] completed, HttpClient.Callback callback, HttpClient.Response response) {
+        if (!completed[0]) {
+            completed[0] = true;
+            callback.accept(response);
         }
     }
 }
--- a/src/test/java/org/weldcourse/simulation/FakeStore.java
+++ b/src/test/java/org/weldcourse/simulation/FakeStore.java
@@ -17,20 +17,20 @@
 
     private record Change(String key, Object value, long version) {}
 
-    private final FakeClock time;
-    private int txnOps;
-    private int valueBytes;
+    private final FakeClock clock;
+    private int maxTransactionOps;
+    private int maxValueBytes;
     private final TreeMap<String, Value> values = new TreeMap<>();
     private final List<Change> changes = new ArrayList<>();
     private final Map<Long, Long> leaseEnds = new HashMap<>();
     private final Map<Long, Long> leaseTtls = new HashMap<>();
     private final Set<Runnable> watchers = new LinkedHashSet<>();
     private long revision;
-    private long lastLease;
+    private long lastLeaseId;
     private boolean down;
     private int writes;
     private int requests;
-    private long oldestWatched;
+    private long compactedRevision;
     private Consumer<List<CommittedWrite>> onCommit = written -> {};
     private String unguardedPrefix;
     private String lostPrefix;
@@ -38,10 +38,10 @@
     /** One change of a commit; {@code value} is null for a key that was deleted. */
     public record CommittedWrite(String key, Map<String, Object> value, long version) {}
 
-    public FakeStore(FakeClock time, int txnOps, int valueBytes) {
-        this.time = time;
-        this.txnOps = txnOps;
-        this.valueBytes = valueBytes;
+    public FakeStore(FakeClock clock, int maxTransactionOps, int maxValueBytes) {
+        this.clock = clock;
+        this.maxTransactionOps = maxTransactionOps;
+        this.maxValueBytes = maxValueBytes;
     }
 
     /** Told of the changes of each transaction that is carried out. */
@@ -62,10 +62,10 @@
     /** During an outage everything is refused; when it is over, leases have their full time again. */
     public void down(boolean isDown) {
         if (down && !isDown) {
-            leaseEnds.replaceAll((lease, end) -> time.nowMicros() + leaseTtls.get(lease));
+            leaseEnds.replaceAll((lease, end) -> clock.nowMicros() + leaseTtls.get(lease));
         }
         down = isDown;
-        wakeWatchers();
+        notifyWatchers();
     }
 
     public Map<String, Object> value(String key) {
@@ -84,9 +84,9 @@
     }
 
     /** From now on it takes no more than this; what it holds stays as it is. */
-    public void limit(int newTxnOps, int newValueBytes) {
-        txnOps = newTxnOps;
-        valueBytes = newValueBytes;
+    public void limit(int newMaxTransactionOps, int newMaxValueBytes) {
+        maxTransactionOps = newMaxTransactionOps;
+        maxValueBytes = newMaxValueBytes;
     }
 
     /** Puts a record there as another version wrote it. */
@@ -127,7 +127,7 @@
             reply.send(503, Json.of("error", "outage"));
             return;
         }
-        expire();
+        expireLeases();
         String path = request.path();
         Map<String, Object> body = Json.objectOrEmpty(request.body());
         if (path.startsWith("/store/")) {
@@ -138,14 +138,14 @@
             commit(body, reply);
         } else if (path.equals("/grants")) {
             long ttlMicros = Json.integer(body, "ttl_ms", 0) * 1000;
-            leaseTtls.put(++lastLease, ttlMicros);
-            leaseEnds.put(lastLease, time.nowMicros() + ttlMicros);
-            time.after(ttlMicros + 1, this::expire);
-            reply.send(200, Json.of("permit", lastLease));
+            leaseTtls.put(++lastLeaseId, ttlMicros);
+            leaseEnds.put(lastLeaseId, clock.nowMicros() + ttlMicros);
+            clock.after(ttlMicros + 1, this::expireLeases);
+            reply.send(200, Json.of("permit", lastLeaseId));
         } else if (path.endsWith("/extend")) {
             extend(Long.parseLong(path.split("/")[2]), reply);
         } else if (path.startsWith("/grants/")) {
-            end(Long.parseLong(path.split("/")[2]));
+            expireLease(Long.parseLong(path.split("/")[2]));
             reply.send(200, Map.of());
         } else if (path.startsWith("/watch")) {
             watch(
@@ -186,7 +186,7 @@
         }
     }
 
-    private void list(String prefix, String after, int most, Server.Reply reply) {
+    private void list(String prefix, String after, int limit, Server.Reply reply) {
         List<Object> pairs = new ArrayList<>();
         boolean more = false;
         for (Map.Entry<String, Value> entry :
@@ -194,7 +194,7 @@
             if (!entry.getKey().startsWith(prefix)) {
                 break;
             }
-            if (pairs.size() == most) {
+            if (pairs.size() == limit) {
                 more = true;
                 break;
             }
@@ -212,13 +212,13 @@
     }
 
     private void commit(Map<String, Object> body, Server.Reply reply) {
-        List<Object> then = Json.list(body.get("then"));
-        if (then.size() > txnOps || Json.bytes(body).length > 64 * 1024) {
-            throw new AssertionError("a transaction over the limits: " + then.size() + " changes");
+        List<Object> operations = Json.list(body.get("then"));
+        if (operations.size() > maxTransactionOps || Json.bytes(body).length > 64 * 1024) {
+            throw new AssertionError("a transaction over the limits: " + operations.size() + " changes");
         }
-        for (Object item : then) {
+        for (Object item : operations) {
             Map<String, Object> op = Json.object(item);
-            if (op.containsKey("write") && Json.bytes(op.get("value")).length > valueBytes) {
+            if (op.containsKey("write") && Json.bytes(op.get("value")).length > maxValueBytes) {
                 throw new AssertionError("a value over the limit: " + op.get("write"));
             }
             long lease = Json.integer(op, "permit", 0);
@@ -237,13 +237,13 @@
                 failed.add(key);
             }
         }
-        writes += then.size();
+        writes += operations.size();
         if (!failed.isEmpty()) {
             reply.send(409, Json.of("failed", failed, "ledger", revision));
             return;
         }
         revision++;
-        for (Object item : then) {
+        for (Object item : operations) {
             Map<String, Object> op = Json.object(item);
             if (op.containsKey("write")) {
                 put(Json.text(op, "write"), new Value(op.get("value"), revision, Json.integer(op, "permit", 0)));
@@ -251,14 +251,14 @@
                 put(Json.text(op, "delete"), null);
             }
         }
-        tellCommitted(then);
-        wakeWatchers();
+        notifyCommitListener(operations);
+        notifyWatchers();
         reply.send(200, Json.of("ledger", revision));
     }
 
-    private void tellCommitted(List<Object> changed) {
+    private void notifyCommitListener(List<Object> operations) {
         List<CommittedWrite> written = new ArrayList<>();
-        for (Object item : changed) {
+        for (Object item : operations) {
             Map<String, Object> op = Json.object(item);
             written.add(
                     op.containsKey("write")
@@ -287,23 +287,23 @@
             reply.send(404, Map.of());
             return;
         }
-        leaseEnds.put(lease, time.nowMicros() + leaseTtls.get(lease));
-        time.after(leaseTtls.get(lease) + 1, this::expire);
+        leaseEnds.put(lease, clock.nowMicros() + leaseTtls.get(lease));
+        clock.after(leaseTtls.get(lease) + 1, this::expireLeases);
         reply.send(200, Map.of());
     }
 
-    private void expire() {
+    private void expireLeases() {
         if (down) {
             return;
         }
         for (Map.Entry<Long, Long> entry : new HashMap<>(leaseEnds).entrySet()) {
-            if (entry.getValue() <= time.nowMicros()) {
-                end(entry.getKey());
+            if (entry.getValue() <= clock.nowMicros()) {
+                expireLease(entry.getKey());
             }
         }
     }
 
-    private void end(long lease) {
+    private void expireLease(long lease) {
         if (leaseEnds.remove(lease) == null) {
             return;
         }
@@ -316,23 +316,23 @@
         if (!attached.isEmpty()) {
             revision++;
             attached.forEach(key -> put(key, null));
-            wakeWatchers();
+            notifyWatchers();
         }
     }
 
     /** Watches from before now are too old from here on. */
     public void compactHistory() {
         changes.clear();
-        oldestWatched = revision;
+        compactedRevision = revision;
     }
 
     private void watch(String prefix, long after, long waitMicros, Server.Reply reply) {
-        if (after < oldestWatched) {
+        if (after < compactedRevision) {
             reply.send(410, Json.of("ledger", revision));
             return;
         }
         boolean[] answered = new boolean[1];
-        Runnable look = new Runnable() {
+        Runnable check = new Runnable() {
             @Override
             public void run() {
                 List<Object> events = new ArrayList<>();
@@ -351,33 +351,33 @@
                 }
             }
         };
-        look.run();
+        check.run();
         if (!answered[0]) {
-            watchers.add(look);
-            time.after(waitMicros, () -> close(answered, look, reply));
+            watchers.add(check);
+            clock.after(waitMicros, () -> answerIfExpired(answered, check, reply));
         }
     }
 
     /** The watch has waited its time; in an outage it stays open. */
-    private void close(boolean[] answered, Runnable look, Server.Reply reply) {
+    private void answerIfExpired(boolean[] answered, Runnable check, Server.Reply reply) {
         if (answered[0]) {
             return;
         }
         if (down) {
-            time.after(100_000, () -> close(answered, look, reply));
+            clock.after(100_000, () -> answerIfExpired(answered, check, reply));
             return;
         }
         // What was committed since the watchers were last woken belongs into this answer: it names the newest revision.
-        look.run();
+        check.run();
         if (!answered[0]) {
             answered[0] = true;
-            watchers.remove(look);
+            watchers.remove(check);
             reply.send(200, Json.of("ledger", revision, "events", List.of()));
         }
     }
 
-    private void wakeWatchers() {
-        time.after(0, () -> {
+    private void notifyWatchers() {
+        clock.after(0, () -> {
             if (!down) {
                 new ArrayList<>(watchers).forEach(Runnable::run);
             }
--- a/src/test/java/org/weldcourse/simulation/FakeTaskRunner.java
+++ b/src/test/java/org/weldcourse/simulation/FakeTaskRunner.java
@@ -8,7 +8,7 @@
 
 /** The tasks on one scripted machine, from their image to their exit. How long images take and tasks run is up to the test. */
 final class FakeTaskRunner {
-    private static final long GANG_RETRY_MICROS = 100_000;
+    private static final long GANG_COMPLETION_RETRY_MICROS = 100_000;
     private static final long GANG_WAIT_MICROS = 40_000_000;
 
     private final FakeWorker worker;
@@ -23,7 +23,7 @@
     }
 
     /** Tasks that have not exited. */
-    List<String> present() {
+    List<String> active() {
         List<String> present = new ArrayList<>();
         tasks.forEach((id, task) -> {
             if (!task.isExited()) {
@@ -34,7 +34,7 @@
     }
 
     /** How many tasks a heartbeat lists, those that have exited and are not forgotten among them. */
-    int listed() {
+    int count() {
         return tasks.size();
     }
 
@@ -56,144 +56,145 @@
         new ArrayList<>(tasks.keySet()).forEach(this::drop);
     }
 
-    void carryOut(List<Object> orders) {
+    void execute(List<Object> orders) {
         for (Object item : orders) {
             Map<String, Object> order = Json.object(item);
-            String task = Json.text(order, "bead");
+            String taskId = Json.text(order, "bead");
             int attempt = (int) Json.integer(order, "strike", 0);
-            FakeTask running = tasks.get(task);
+            FakeTask task = tasks.get(taskId);
             switch (Json.text(order, "order")) {
-                case "run" -> run(task, attempt, running);
+                case "run" -> run(taskId, attempt, task);
                 case "halt" -> {
-                    if (running != null && running.attempt == attempt && !running.isExited()) {
-                        exit(task, running, "stopped");
+                    if (task != null && task.attempt == attempt && !task.isExited()) {
+                        exit(taskId, task, "stopped");
                     }
                 }
                 default -> {
-                    if (running != null && running.attempt == attempt && running.isExited()) {
-                        tasks.remove(task);
-                        worker.changed();
+                    if (task != null && task.attempt == attempt && task.isExited()) {
+                        tasks.remove(taskId);
+                        worker.scheduleHeartbeat();
                     }
                 }
             }
         }
     }
 
-    private void run(String task, int attempt, FakeTask running) {
-        if (running != null && running.attempt == attempt) {
+    private void run(String taskId, int attempt, FakeTask task) {
+        if (task != null && task.attempt == attempt) {
             return;
         }
-        if (running != null && !running.isExited()) {
-            throw new AssertionError(task + " was started over its own other attempt on "
+        if (task != null && !task.isExited()) {
+            throw new AssertionError(taskId + " was started over its own other attempt on "
                     + worker.machine().name());
         }
-        FakeTask fresh = new FakeTask(attempt);
-        tasks.put(task, fresh);
-        long fetchMicros = behavior.fetchMicros(task);
+        FakeTask newTask = new FakeTask(attempt);
+        tasks.put(taskId, newTask);
+        long fetchMicros = behavior.fetchMicros(taskId);
         if (fetchMicros > 0) {
-            clock.after(fetchMicros, () -> worker.whenAwake(() -> imageFetched(task, fresh)));
+            clock.after(fetchMicros, () -> worker.runWhenNotFrozen(() -> imageFetched(taskId, newTask)));
         } else {
-            imageFetched(task, fresh);
+            imageFetched(taskId, newTask);
         }
-        worker.changed();
+        worker.scheduleHeartbeat();
     }
 
-    private void imageFetched(String task, FakeTask running) {
-        if (tasks.get(task) != running || !running.state.equals(FakeTask.FETCHING)) {
+    private void imageFetched(String taskId, FakeTask task) {
+        if (tasks.get(taskId) != task || !task.state.equals(FakeTask.FETCHING)) {
             return;
         }
-        boolean gathers = behavior.startsWithGang(task);
-        running.state = gathers ? FakeTask.GATHERING : FakeTask.RUNNING;
-        behavior.started(worker, task, running.attempt);
-        if (!gathers) {
-            enterRunning(task, running);
+        boolean waitsForGang = behavior.isGangTask(taskId);
+        task.state = waitsForGang ? FakeTask.GATHERING : FakeTask.RUNNING;
+        behavior.taskStarted(worker, taskId, task.attempt);
+        if (!waitsForGang) {
+            enterRunning(taskId, task);
         } else {
-            clock.after(GANG_WAIT_MICROS, () -> worker.whenAwake(() -> giveUpWaiting(task, running)));
+            clock.after(GANG_WAIT_MICROS, () -> worker.runWhenNotFrozen(() -> failIfGangIncomplete(taskId, task)));
         }
-        worker.changed();
+        worker.scheduleHeartbeat();
     }
 
-    private void giveUpWaiting(String task, FakeTask running) {
-        if (tasks.get(task) == running && running.state.equals(FakeTask.GATHERING)) {
-            exit(task, running, "alone");
+    private void failIfGangIncomplete(String taskId, FakeTask task) {
+        if (tasks.get(taskId) == task && task.state.equals(FakeTask.GATHERING)) {
+            exit(taskId, task, "alone");
         }
     }
 
     /** All tasks of the gang are there. */
-    void gangStarts(String task) {
-        worker.whenAwake(() -> {
-            FakeTask running = tasks.get(task);
-            if (running != null && running.state.equals(FakeTask.GATHERING)) {
-                enterRunning(task, running);
-                worker.changed();
+    void startWithGang(String taskId) {
+        worker.runWhenNotFrozen(() -> {
+            FakeTask task = tasks.get(taskId);
+            if (task != null && task.state.equals(FakeTask.GATHERING)) {
+                enterRunning(taskId, task);
+                worker.scheduleHeartbeat();
             }
         });
     }
 
-    private void enterRunning(String task, FakeTask running) {
-        running.state = FakeTask.RUNNING;
-        long runMicros = behavior.runMicros(task);
+    private void enterRunning(String taskId, FakeTask task) {
+        task.state = FakeTask.RUNNING;
+        long runMicros = behavior.runMicros(taskId);
         if (runMicros < Long.MAX_VALUE) {
             clock.after(
-                    runMicros, () -> worker.whenAwake(() -> finish(task, running, runMicros < 0 ? "error" : "done")));
+                    runMicros,
+                    () -> worker.runWhenNotFrozen(() -> finish(taskId, task, runMicros < 0 ? "error" : "done")));
         }
     }
 
     /** The attempt of a task that is on the machine, or 0. */
-    int attempt(String task) {
-        FakeTask running = tasks.get(task);
-        return running == null || running.isExited() ? 0 : running.attempt;
+    int attempt(String taskId) {
+        FakeTask task = tasks.get(taskId);
+        return task == null || task.isExited() ? 0 : task.attempt;
     }
 
     /** A running gang has lost a task. */
-    void gangMemberLost(String task, int attempt) {
-        worker.whenAwake(() -> {
-            FakeTask running = tasks.get(task);
-            if (running != null && running.attempt == attempt && running.state.equals(FakeTask.RUNNING)) {
-                exit(task, running, "mates_gone");
+    void gangMemberLost(String taskId, int attempt) {
+        worker.runWhenNotFrozen(() -> {
+            FakeTask task = tasks.get(taskId);
+            if (task != null && task.attempt == attempt && task.state.equals(FakeTask.RUNNING)) {
+                exit(taskId, task, "mates_gone");
             }
         });
     }
 
-    private void finish(String task, FakeTask running, String cause) {
-        if (tasks.get(task) != running || !running.state.equals(FakeTask.RUNNING)) {
+    private void finish(String taskId, FakeTask task, String cause) {
+        if (tasks.get(taskId) != task || !task.state.equals(FakeTask.RUNNING)) {
             return;
         }
-        if (cause.equals("done") && !behavior.mayComplete(task)) {
-            clock.after(GANG_RETRY_MICROS, () -> worker.whenAwake(() -> finish(task, running, cause)));
+        if (cause.equals("done") && !behavior.mayComplete(taskId)) {
+            clock.after(GANG_COMPLETION_RETRY_MICROS, () -> worker.runWhenNotFrozen(() -> finish(taskId, task, cause)));
             return;
         }
-        exit(task, running, cause);
+        exit(taskId, task, cause);
     }
 
     /** The gang of the task is done, and so is the task. */
-    void completeWithGang(String task) {
+    void completeWithGang(String taskId) {
         // A machine that hangs does not end its task before it goes on.
-        worker.whenAwake(() -> {
-            FakeTask running = tasks.get(task);
-            if (running != null && running.state.equals(FakeTask.RUNNING)) {
-                exit(task, running, "done");
+        worker.runWhenNotFrozen(() -> {
+            FakeTask task = tasks.get(taskId);
+            if (task != null && task.state.equals(FakeTask.RUNNING)) {
+                exit(taskId, task, "done");
             }
         });
     }
 
-    private void exit(String task, FakeTask running, String cause) {
-        boolean wasThere = !running.state.equals(FakeTask.FETCHING);
-        running.state = FakeTask.EXITED;
-        running.cause = cause;
-        if (wasThere) {
-            behavior.ended(worker, task);
+    private void exit(String taskId, FakeTask task, String cause) {
+        boolean wasActive = !task.state.equals(FakeTask.FETCHING);
+        task.state = FakeTask.EXITED;
+        task.cause = cause;
+        if (wasActive) {
+            behavior.taskEnded(worker, taskId);
         }
         if (cause.equals("done")) {
-            behavior.completed(task);
+            behavior.taskCompleted(taskId);
         }
-        worker.changed();
+        worker.scheduleHeartbeat();
     }
 
-    private void drop(String task) {
-        FakeTask running = tasks.remove(task);
-        if (running != null && !running.isExited() && !running.state.equals(FakeTask.FETCHING)) {
-            behavior.ended(worker, task);
+    private void drop(String taskId) {
+        FakeTask task = tasks.remove(taskId);
+        if (task != null && !task.isExited() && !task.state.equals(FakeTask.FETCHING)) {
+            behavior.taskEnded(worker, taskId);
         }
     }
 }
--- a/src/test/java/org/weldcourse/simulation/FakeWorker.java
+++ b/src/test/java/org/weldcourse/simulation/FakeWorker.java
@@ -31,7 +31,7 @@
     private boolean alive = true;
     private boolean frozen;
     private long frozenSinceMicros;
-    private final List<Runnable> waiting = new ArrayList<>();
+    private final List<Runnable> deferredWork = new ArrayList<>();
     private long preemptionMicros = -1;
     private boolean inFlight;
     private long lastSentMicros = -1_000_000;
@@ -74,7 +74,7 @@
 
     /** Tasks that are on the machine, in the rules' sense. */
     public List<String> presentTasks() {
-        return tasks.present();
+        return tasks.active();
     }
 
     /** What runs and ran on the machine. */
@@ -92,7 +92,7 @@
     }
 
     public int listedTasks() {
-        return tasks.listed();
+        return tasks.count();
     }
 
     public void announcePreemption(long micros) {
@@ -116,26 +116,26 @@
         }
         frozen = isFrozen;
         if (frozen) {
-            behavior.hung(this);
+            behavior.machineFrozen(this);
         } else {
-            expire();
-            List<Runnable> held = new ArrayList<>(waiting);
-            waiting.clear();
-            held.forEach(Runnable::run);
+            killTasksIfLeaseExpired();
+            List<Runnable> deferred = new ArrayList<>(deferredWork);
+            deferredWork.clear();
+            deferred.forEach(Runnable::run);
         }
     }
 
     /** Does the work now, or when the machine no longer hangs. */
-    void whenAwake(Runnable work) {
+    void runWhenNotFrozen(Runnable work) {
         if (frozen) {
-            waiting.add(work);
+            deferredWork.add(work);
         } else {
             work.run();
         }
     }
 
     /** Tasks whose worker was not answered within its lease are killed. */
-    private void expire() {
+    private void killTasksIfLeaseExpired() {
         if (clock.nowMicros() - answeredSentMicros > leaseMicros) {
             tasks.dropAll();
             incarnation++;
@@ -153,7 +153,7 @@
             return;
         }
         if (!frozen) {
-            expire();
+            killTasksIfLeaseExpired();
             if (clock.nowMicros() - lastSentMicros >= heartbeatMicros) {
                 sendHeartbeat();
             }
@@ -162,7 +162,7 @@
     }
 
     /** A change makes for a heartbeat at once, but no sooner than half a second after the last one. */
-    void changed() {
+    void scheduleHeartbeat() {
         clock.after(Math.max(0, lastSentMicros + 500_000 - clock.nowMicros()), this::sendHeartbeat);
     }
 
@@ -178,7 +178,7 @@
         heartbeats.add(body);
         caller.call(
                 new HttpClient.Call(controllers.get(target), "POST", "/checkin", body, HEARTBEAT_TIMEOUT_MICROS),
-                answer -> whenAwake(() -> {
+                answer -> runWhenNotFrozen(() -> {
                     inFlight = false;
                     if (!alive || sentIncarnation != incarnation) {
                         return;
@@ -192,7 +192,7 @@
                                 : controllers.indexOf(leader);
                         clock.after(200_000, this::sendHeartbeat);
                     } else if (inTime && answer.status() == 200) {
-                        answered(answer.body(), sentMicros);
+                        handleHeartbeatResponse(answer.body(), sentMicros);
                     } else {
                         target = (target + 1) % controllers.size();
                         clock.after(1_000_000, this::sendHeartbeat);
@@ -200,17 +200,17 @@
                 }));
     }
 
-    private void answered(Map<String, Object> body, long sentMicros) {
-        long theirs = Json.integer(body, "torch", 0);
-        if (theirs < fencingToken) {
+    private void handleHeartbeatResponse(Map<String, Object> body, long sentMicros) {
+        long receivedToken = Json.integer(body, "torch", 0);
+        if (receivedToken < fencingToken) {
             return;
         }
-        if (theirs > fencingToken) {
-            fencingToken = theirs;
-            changed();
+        if (receivedToken > fencingToken) {
+            fencingToken = receivedToken;
+            scheduleHeartbeat();
         }
         answeredSentMicros = sentMicros;
-        tasks.carryOut(Json.list(body.get("orders")));
+        tasks.execute(Json.list(body.get("orders")));
     }
 
     /** How many messages came to it directly and were carried out. */
@@ -244,10 +244,10 @@
 
     @Override
     public void handle(Server.Request request, Server.Reply reply) {
-        whenAwake(() -> order(request, reply));
+        runWhenNotFrozen(() -> handleCommands(request, reply));
     }
 
-    private void order(Server.Request request, Server.Reply reply) {
+    private void handleCommands(Server.Request request, Server.Reply reply) {
         Map<String, Object> body = Json.objectOrEmpty(request.body());
         if (!alive) {
             return;
@@ -258,7 +258,7 @@
         }
         fencingToken = Json.integer(body, "torch", 0);
         directCommands++;
-        tasks.carryOut(Json.list(body.get("orders")));
+        tasks.execute(Json.list(body.get("orders")));
         reply.send(200, heartbeat());
     }
 }
--- a/src/test/java/org/weldcourse/simulation/LoopbackCluster.java
+++ b/src/test/java/org/weldcourse/simulation/LoopbackCluster.java
@@ -57,7 +57,7 @@
     private final Map<String, PeerProxy> peerProxies = new LinkedHashMap<>();
     private final NetworkFaults faults;
     private final List<String> options;
-    private long tickedNanos = System.nanoTime();
+    private long lastTickNanos = System.nanoTime();
     private volatile AssertionError failure;
 
     /** Where a worker listens; the handler changes with the machine that has the address. */
@@ -113,20 +113,20 @@
     private int serve(Server.Handler handler) throws IOException, InterruptedException {
         int port = DeployedProgram.freePort();
         Server.Limits limits = new Server.Limits(CONNECTIONS, CONNECTIONS, Long.MAX_VALUE, Long.MAX_VALUE / 2);
-        Server.Handler watched = (request, reply) -> watch(() -> handler.handle(request, reply));
-        new Server(loop, watched, new EventLoopTimers(loop), limits, () -> {}).listen(HOST + ":" + port);
+        Server.Handler recording = (request, reply) -> recordFailures(() -> handler.handle(request, reply));
+        new Server(loop, recording, new EventLoopTimers(loop), limits, () -> {}).listen(HOST + ":" + port);
         return port;
     }
 
     private void tick() {
         long nowNanos = System.nanoTime();
-        long micros = (nowNanos - tickedNanos) / 1_000;
-        tickedNanos += micros * 1_000;
-        watch(() -> time.pass(micros));
-        watch(invariants::checkCancelled);
+        long elapsedMicros = (nowNanos - lastTickNanos) / 1_000;
+        lastTickNanos += elapsedMicros * 1_000;
+        recordFailures(() -> time.pass(elapsedMicros));
+        recordFailures(invariants::checkCancelled);
     }
 
-    private void watch(Runnable work) {
+    private void recordFailures(Runnable work) {
         try {
             work.run();
         } catch (AssertionError broken) {
@@ -150,12 +150,12 @@
 
     /** Keeps a rule that breaks in this, which runs on the event loop already. */
     public void recordFailure(Runnable work) {
-        watch(work);
+        recordFailures(work);
     }
 
     /** Runs on the stand-ins' event loop; a rule that breaks there is kept. */
     public void runOnEventLoop(Runnable work) {
-        loop.execute(() -> watch(work));
+        loop.execute(() -> recordFailures(work));
     }
 
     private void machineUp(FakeCloud.RentedMachine rented) {
--- a/src/test/java/org/weldcourse/simulation/NetworkFaults.java
+++ b/src/test/java/org/weldcourse/simulation/NetworkFaults.java
@@ -22,16 +22,16 @@
     /** Stands for a caller that can't be told from others. */
     public static final String ANY_ENDPOINT = "anybody";
 
-    private static final long LEAST_LATE_MICROS = 2_000_000;
-    private static final int MOST_MORE_LATE_MICROS = 10_000_000;
+    private static final long MIN_LATE_MICROS = 2_000_000;
+    private static final int LATE_SPREAD_MICROS = 10_000_000;
 
-    private final FakeClock time;
+    private final FakeClock clock;
     private final Set<String> cuts = new HashSet<>();
     private final Set<String> refusals = new HashSet<>();
-    private final Map<String, Long> slowMicros = new HashMap<>();
-    private final Map<String, Double> lostAnswerShares = new HashMap<>();
+    private final Map<String, Long> latencyMicros = new HashMap<>();
+    private final Map<String, Double> lostResponseShares = new HashMap<>();
     private final Map<String, Double> lateShares = new HashMap<>();
-    private final Map<String, Double> repeatShares = new HashMap<>();
+    private final Map<String, Double> duplicateShares = new HashMap<>();
     private final Map<Effect, Integer> effects = new TreeMap<>();
     private final List<Runnable> onHeal = new ArrayList<>();
     private Random random = new Random(0);
@@ -48,8 +48,8 @@
         PEERS_CUT
     }
 
-    NetworkFaults(FakeClock time) {
-        this.time = time;
+    NetworkFaults(FakeClock clock) {
+        this.clock = clock;
     }
 
     /** The name of the way from one end to the other. */
@@ -92,12 +92,12 @@
 
     /** Each message takes so much longer. */
     public void setLatency(String from, String to, long micros) {
-        slowMicros.put(link(from, to), micros);
+        latencyMicros.put(link(from, to), micros);
     }
 
     /** Of this share of the messages the answer gets lost. */
     public void loseResponses(String from, String to, double share) {
-        lostAnswerShares.put(link(from, to), share);
+        lostResponseShares.put(link(from, to), share);
     }
 
     /** This share of the messages is carried out late, and never answered. */
@@ -107,17 +107,17 @@
 
     /** This share of the messages comes again some seconds later. */
     public void duplicate(String from, String to, double share) {
-        repeatShares.put(link(from, to), share);
+        duplicateShares.put(link(from, to), share);
     }
 
     /** Every link is as it should be. */
     public void healAll() {
         cuts.clear();
         refusals.clear();
-        slowMicros.clear();
-        lostAnswerShares.clear();
+        latencyMicros.clear();
+        lostResponseShares.clear();
         lateShares.clear();
-        repeatShares.clear();
+        duplicateShares.clear();
         List.copyOf(onHeal).forEach(Runnable::run);
     }
 
@@ -130,45 +130,45 @@
         effects.merge(effect, 1, Integer::sum);
     }
 
-    private boolean happens(Map<String, Double> shares, String link) {
+    private boolean occurs(Map<String, Double> shares, String link) {
         Double share = shares.get(link);
         return share != null && random.nextDouble() < share;
     }
 
-    private long lateMicros() {
-        return LEAST_LATE_MICROS + random.nextInt(MOST_MORE_LATE_MICROS);
+    private long randomLateMicros() {
+        return MIN_LATE_MICROS + random.nextInt(LATE_SPREAD_MICROS);
     }
 
     /** A handler as this caller finds it. */
     public Server.Handler wrapHandler(String from, String to, Server.Handler handler) {
-        String way = link(from, to);
+        String link = link(from, to);
         return (request, reply) -> {
-            if (cuts.contains(way)) {
+            if (cuts.contains(link)) {
                 count(Effect.REQUEST_CUT);
                 return;
             }
-            if (refusals.contains(way)) {
+            if (refusals.contains(link)) {
                 count(Effect.REFUSED);
                 reply.refuse(503, "refused", 1);
                 return;
             }
-            if (happens(lateShares, way)) {
+            if (occurs(lateShares, link)) {
                 count(Effect.CARRIED_OUT_LATE);
-                time.after(lateMicros(), () -> handler.handle(request, (status, body, retryAfterSeconds) -> {}));
+                clock.after(randomLateMicros(), () -> handler.handle(request, (status, body, retryAfterSeconds) -> {}));
                 return;
             }
-            long delayMicros = slowMicros.getOrDefault(way, 0L);
+            long delayMicros = latencyMicros.getOrDefault(link, 0L);
             if (delayMicros > 0) {
                 count(Effect.SLOWED);
-                time.after(delayMicros, () -> carryOut(from, to, handler, request, reply));
+                clock.after(delayMicros, () -> execute(from, to, handler, request, reply));
             } else {
-                carryOut(from, to, handler, request, reply);
+                execute(from, to, handler, request, reply);
             }
         };
     }
 
-    private void carryOut(String from, String to, Server.Handler handler, Server.Request request, Server.Reply reply) {
-        boolean lost = happens(lostAnswerShares, link(from, to));
+    private void execute(String from, String to, Server.Handler handler, Server.Request request, Server.Reply reply) {
+        boolean lost = occurs(lostResponseShares, link(from, to));
         handler.handle(request, (status, body, retryAfterSeconds) -> {
             if (cuts.contains(link(to, from))) {
                 count(Effect.ANSWER_CUT);
@@ -182,23 +182,23 @@
 
     /** A caller as it reaches the ends with these addresses. */
     public HttpClient wrapClient(String from, HttpClient caller, Map<String, String> nameByAddress) {
-        return (call, done) -> {
+        return (call, callback) -> {
             String to = nameByAddress.getOrDefault(call.address(), call.address());
-            boolean[] ended = new boolean[1];
-            time.after(call.timeoutMicros(), () -> finish(ended, done, HttpClient.Response.NO_RESPONSE));
+            boolean[] completed = new boolean[1];
+            clock.after(call.timeoutMicros(), () -> completeOnce(completed, callback, HttpClient.Response.NO_RESPONSE));
             if (cuts.contains(link(from, to)) || cuts.contains(link(from, ANY_ENDPOINT))) {
                 count(Effect.REQUEST_CUT);
                 return;
             }
-            if (happens(repeatShares, link(from, ANY_ENDPOINT))) {
+            if (occurs(duplicateShares, link(from, ANY_ENDPOINT))) {
                 count(Effect.REPEATED);
-                time.after(lateMicros(), () -> caller.call(copy(call), answer -> {}));
+                clock.after(randomLateMicros(), () -> caller.call(copy(call), response -> {}));
             }
-            caller.call(call, answer -> {
+            caller.call(call, response -> {
                 if (cuts.contains(link(to, from)) || cuts.contains(link(ANY_ENDPOINT, from))) {
                     count(Effect.ANSWER_CUT);
                 } else {
-                    finish(ended, done, answer);
+                    completeOnce(completed, callback, response);
                 }
             });
         };
@@ -213,10 +213,10 @@
                 call.timeoutMicros());
     }
 
-    private static void finish(boolean[] ended, HttpClient.Callback done, HttpClient.Response answer) {
-        if (!ended[0]) {
-            ended[0] = true;
-            done.accept(answer);
+    private static void completeOnce(boolean[] completed, HttpClient.Callback callback, HttpClient.Response response) {
+        if (!completed[0]) {
+            completed[0] = true;
+            callback.accept(response);
         }
     }
 }
--- a/src/test/java/org/weldcourse/simulation/PausableProcess.java
+++ b/src/test/java/org/weldcourse/simulation/PausableProcess.java
@@ -13,7 +13,7 @@
  */
 final class PausableProcess implements Timers {
     private final FakeClock clock;
-    private final List<Runnable> waiting = new ArrayList<>();
+    private final List<Runnable> deferredWork = new ArrayList<>();
     private final Random random = new Random(7);
     private boolean paused;
 
@@ -31,15 +31,15 @@
 
     void resume() {
         paused = false;
-        List<Runnable> all = new ArrayList<>(waiting);
-        waiting.clear();
+        List<Runnable> all = new ArrayList<>(deferredWork);
+        deferredWork.clear();
         Collections.shuffle(all, random);
         all.forEach(Runnable::run);
     }
 
     void run(Runnable work) {
         if (paused) {
-            waiting.add(work);
+            deferredWork.add(work);
         } else {
             work.run();
         }
@@ -47,18 +47,18 @@
 
     @Override
     public Timer after(long delayMicros, Runnable work) {
-        boolean[] off = new boolean[1];
+        boolean[] cancelled = new boolean[1];
         clock.after(
                 delayMicros,
                 () -> run(() -> {
-                    if (!off[0]) {
+                    if (!cancelled[0]) {
                         work.run();
                     }
                 }));
-        return () -> off[0] = true;
+        return () -> cancelled[0] = true;
     }
 
-    HttpClient caller(HttpClient outside) {
-        return (call, done) -> outside.call(call, answer -> run(() -> done.accept(answer)));
+    HttpClient caller(HttpClient client) {
+        return (call, done) -> client.call(call, response -> run(() -> done.accept(response)));
     }
 }
--- a/src/test/java/org/weldcourse/simulation/PeerProxy.java
+++ b/src/test/java/org/weldcourse/simulation/PeerProxy.java
@@ -98,7 +98,7 @@
     /** Passes on what comes on one channel to another. */
     private final class Relay extends ChannelInboundHandlerAdapter {
         private final Channel to;
-        private final Deque<Object> held = new ArrayDeque<>();
+        private final Deque<Object> buffered = new ArrayDeque<>();
 
         Relay(Channel to) {
             this.to = to;
@@ -107,7 +107,7 @@
 
         @Override
         public void channelRead(ChannelHandlerContext context, Object bytes) {
-            held.add(bytes);
+            buffered.add(bytes);
             if (faults.isCut(link)) {
                 faults.count(NetworkFaults.Effect.PEERS_CUT);
             } else {
@@ -116,8 +116,8 @@
         }
 
         void deliver() {
-            while (!faults.isCut(link) && !held.isEmpty()) {
-                to.write(held.poll());
+            while (!faults.isCut(link) && !buffered.isEmpty()) {
+                to.write(buffered.poll());
             }
             to.flush();
         }
@@ -125,8 +125,8 @@
         @Override
         public void channelInactive(ChannelHandlerContext context) {
             relays.remove(this);
-            held.forEach(ReferenceCountUtil::release);
-            held.clear();
+            buffered.forEach(ReferenceCountUtil::release);
+            buffered.clear();
             to.close();
         }
 
--- a/src/test/java/org/weldcourse/simulation/RandomJob.java
+++ b/src/test/java/org/weldcourse/simulation/RandomJob.java
@@ -46,16 +46,16 @@
             Random random,
             ClusterInvariants rules,
             Map<String, Object> body,
-            int leastRunMicros,
+            int minRunMicros,
             int runSpreadMicros,
-            int mostFetchMicros) {
+            int maxFetchMicros) {
         String id = Json.text(body, "name_id");
         boolean endless = isEndless(body);
         if (endless) {
             rules.runMicros.put(id, Long.MAX_VALUE);
         }
-        rules.runMicros.putIfAbsent(id, (long) leastRunMicros + random.nextInt(runSpreadMicros));
-        rules.fetchMicros.put(id, (long) random.nextInt(mostFetchMicros));
+        rules.runMicros.putIfAbsent(id, (long) minRunMicros + random.nextInt(runSpreadMicros));
+        rules.fetchMicros.put(id, (long) random.nextInt(maxFetchMicros));
         return endless;
     }
 
--- a/src/test/java/org/weldcourse/simulation/RecordCapture.java
+++ b/src/test/java/org/weldcourse/simulation/RecordCapture.java
@@ -33,49 +33,62 @@
     private RecordCapture() {}
 
     public static void main(String[] arguments) throws IOException {
-        SimulatedCluster world = new SimulatedCluster(
+        SimulatedCluster cluster = new SimulatedCluster(
                 2,
                 8,
                 4096,
                 List.of(new Settings.Team("core", 0, 0, 0, 0)),
                 List.of(),
                 new Settings.UpcomingStoreLimits(50, 2048, 4));
-        world.clock.passSeconds(2);
+        cluster.clock.passSeconds(2);
         for (int i = 0; i < 12; i++) {
-            world.cloud.addUnrequested("large", i % 2 == 0 ? "a" : "b", false);
+            cluster.cloud.addUnrequested("large", i % 2 == 0 ? "a" : "b", false);
         }
-        world.clock.passSeconds(7);
-        submitJobs(world);
-        world.clock.passSeconds(50);
+        cluster.clock.passSeconds(7);
+        submitJobs(cluster);
+        cluster.clock.passSeconds(50);
         Map<String, Object> records = new TreeMap<>();
-        for (String key : world.store.keys("")) {
-            records.put(key, world.store.value(key));
+        for (String key : cluster.store.keys("")) {
+            records.put(key, cluster.store.value(key));
         }
         Files.write(Path.of(arguments[0]), Json.bytes(records));
         System.exit(0);
     }
 
-    private static void submitJobs(SimulatedCluster world) {
-        submit(world, SERVICE, 1e6, "shape", "service", "rank", "prod", "cpus", 1.0, "apart", true, "expected_s", 0.0);
-        submit(world, DONE_JOB, 2, "beads", 2);
-        submit(world, CANCELLED_JOB, 300, "beads", 2);
-        world.runMicros.put(SMALL_ARRAY + "/0", 3_000_000L);
-        submit(world, SMALL_ARRAY, 300, "beads", 4);
-        world.cancel("n0", CANCELLED_JOB);
+    private static void submitJobs(SimulatedCluster cluster) {
+        submit(
+                cluster,
+                SERVICE,
+                1e6,
+                "shape",
+                "service",
+                "rank",
+                "prod",
+                "cpus",
+                1.0,
+                "apart",
+                true,
+                "expected_s",
+                0.0);
+        submit(cluster, DONE_JOB, 2, "beads", 2);
+        submit(cluster, CANCELLED_JOB, 300, "beads", 2);
+        cluster.runMicros.put(SMALL_ARRAY + "/0", 3_000_000L);
+        submit(cluster, SMALL_ARRAY, 300, "beads", 4);
+        cluster.cancel("n0", CANCELLED_JOB);
         for (int task = 0; task < LARGE_ARRAY_TASKS; task++) {
             long runMicros = task < 13_000 && task % 2 == 0 ? 1_000_000L : 300_000_000L;
-            world.runMicros.put(LARGE_ARRAY + "/" + task, runMicros);
+            cluster.runMicros.put(LARGE_ARRAY + "/" + task, runMicros);
         }
-        submit(world, LARGE_ARRAY, 300, "beads", LARGE_ARRAY_TASKS, "cpus", 0.005, "mem_gb", 0.005);
+        submit(cluster, LARGE_ARRAY, 300, "beads", LARGE_ARRAY_TASKS, "cpus", 0.005, "mem_gb", 0.005);
         for (int task = 0; task < SCATTERED_ARRAY_TASKS; task++) {
-            world.runMicros.put(SCATTERED_ARRAY + "/" + task, task % 2 == 0 ? 6_000_000L : 300_000_000L);
+            cluster.runMicros.put(SCATTERED_ARRAY + "/" + task, task % 2 == 0 ? 6_000_000L : 300_000_000L);
         }
-        submit(world, SCATTERED_ARRAY, 300, "beads", SCATTERED_ARRAY_TASKS, "cpus", 0.01, "mem_gb", 0.01);
+        submit(cluster, SCATTERED_ARRAY, 300, "beads", SCATTERED_ARRAY_TASKS, "cpus", 0.01, "mem_gb", 0.01);
     }
 
-    private static void submit(SimulatedCluster world, String id, double runSeconds, Object... changes) {
-        world.runMicros.put(id, Math.round(runSeconds * 1e6));
-        int status = world.submit("n0", JobBodies.jobBody(id, changes)).status();
+    private static void submit(SimulatedCluster cluster, String id, double runSeconds, Object... changes) {
+        cluster.runMicros.put(id, Math.round(runSeconds * 1e6));
+        int status = cluster.submit("n0", JobBodies.jobBody(id, changes)).status();
         if (status != 201) {
             throw new IllegalStateException(id + " got " + status);
         }
--- a/src/test/java/org/weldcourse/simulation/SimulatedCluster.java
+++ b/src/test/java/org/weldcourse/simulation/SimulatedCluster.java
@@ -22,7 +22,7 @@
     public static final long LEASE_MICROS = 10_000_000;
     public static final long CANCEL_MICROS = 35_000_000;
     public static final long LEADER_LEASE_MICROS = 4_000_000;
-    private static final long BEAT_MICROS = 400_000;
+    private static final long TICK_MICROS = 400_000;
     static final String STORE = "state:1";
     static final String CLOUD = "cloud:1";
 
@@ -106,21 +106,21 @@
         Settings.StoreLimits storeLimits = new Settings.StoreLimits(250, 50, valueBytes, txnOps, next);
         controllers = new SimulatedControllers(nodes, clock, network, teams, objectives, storeLimits, operatorSettings);
         controllers.startAll();
-        beat();
+        tick();
     }
 
     /** A cluster that has run for long enough to have a leader. */
     public static SimulatedCluster settled(int nodes) {
-        SimulatedCluster world = new SimulatedCluster(nodes);
-        world.clock.passSeconds(2);
-        return world;
+        SimulatedCluster cluster = new SimulatedCluster(nodes);
+        cluster.clock.passSeconds(2);
+        return cluster;
     }
 
-    private void beat() {
+    private void tick() {
         controllers.exchangeStatus();
         checkCancelled();
         controllers.checkStarts();
-        clock.after(BEAT_MICROS, this::beat);
+        clock.after(TICK_MICROS, this::tick);
     }
 
     /** The node hears no other controller, and none hears it. */
@@ -183,7 +183,7 @@
     }
 
     public void healPeerLinks(String name) {
-        controllers.healToPeers(name);
+        controllers.healPeerLinks(name);
     }
 
     public List<String> nodes() {
@@ -264,15 +264,15 @@
     public ApiResponse submit(String node, Map<String, Object> job) {
         String id = Json.text(job, "name_id");
         jobs.put(id, Json.objectOrEmpty(Json.bytes(job)));
-        return checkAnswer(id, invariants.lastReportedState(id), request(node, "POST", "/v1/jobs", Json.bytes(job)));
+        return checkResponse(id, invariants.lastReportedState(id), request(node, "POST", "/v1/jobs", Json.bytes(job)));
     }
 
     public ApiResponse poll(String node, String id) {
-        return checkAnswer(id, invariants.lastReportedState(id), request(node, "GET", "/v1/jobs/" + id, new byte[0]));
+        return checkResponse(id, invariants.lastReportedState(id), request(node, "GET", "/v1/jobs/" + id, new byte[0]));
     }
 
     public ApiResponse cancel(String node, String id) {
-        return checkAnswer(
+        return checkResponse(
                 id,
                 invariants.lastReportedState(id),
                 request(node, "POST", "/v1/jobs/" + id + "/withdraw", new byte[0]));
@@ -283,23 +283,23 @@
         String id = Json.text(job, "name_id");
         String before = invariants.lastReportedState(id);
         jobs.put(id, Json.objectOrEmpty(Json.bytes(job)));
-        sendSoon(node, "POST", "/v1/jobs", Json.bytes(job), answer -> then.accept(checkAnswer(id, before, answer)));
+        sendAsync(node, "POST", "/v1/jobs", Json.bytes(job), answer -> then.accept(checkResponse(id, before, answer)));
     }
 
     /** Asks for the cancellation of a job without waiting for the answer. */
     public void cancelAsync(String node, String id) {
         String before = invariants.lastReportedState(id);
         String path = "/v1/jobs/" + id + "/withdraw";
-        sendSoon(node, "POST", path, new byte[0], answer -> checkAnswer(id, before, answer));
+        sendAsync(node, "POST", path, new byte[0], answer -> checkResponse(id, before, answer));
     }
 
     /** Sends something to a node without heeding the answer. */
     public void postAsync(String node, String path, Map<String, Object> body) {
-        sendSoon(node, "POST", path, Json.bytes(body), answer -> {});
+        sendAsync(node, "POST", path, Json.bytes(body), answer -> {});
     }
 
     /** A paused process gets it when it goes on. */
-    private void sendSoon(String node, String method, String path, byte[] body, Consumer<ApiResponse> then) {
+    private void sendAsync(String node, String method, String path, byte[] body, Consumer<ApiResponse> then) {
         Controller controller = controllers.get(node);
         controllers.process(node).run(() -> handle(controller, method, path, body, then));
     }
@@ -328,7 +328,7 @@
     public void pollAsync(String node, String id) {
         String before = invariants.lastReportedState(id);
         handle(controllers.get(node), "GET", "/v1/jobs/" + id, new byte[0], answer -> {
-            checkAnswer(id, before, answer);
+            checkResponse(id, before, answer);
             pollResponses++;
         });
     }
@@ -348,7 +348,7 @@
         invariants.addExistingJob(record, done);
     }
 
-    private ApiResponse checkAnswer(String id, String before, ApiResponse answer) {
+    private ApiResponse checkResponse(String id, String before, ApiResponse answer) {
         return invariants.checkResponse(id, before, answer);
     }
 
--- a/src/test/java/org/weldcourse/simulation/SimulatedControllers.java
+++ b/src/test/java/org/weldcourse/simulation/SimulatedControllers.java
@@ -111,7 +111,7 @@
         cutFromPeers.add(name);
     }
 
-    void healToPeers(String name) {
+    void healPeerLinks(String name) {
         cutFromPeers.remove(name);
     }
 
--- a/src/test/java/org/weldcourse/simulation/TaskBehavior.java
+++ b/src/test/java/org/weldcourse/simulation/TaskBehavior.java
@@ -8,16 +8,16 @@
     long fetchMicros(String task);
 
     /** Whether the task is one of several that start together. */
-    boolean startsWithGang(String task);
+    boolean isGangTask(String task);
 
-    void started(FakeWorker worker, String task, int attempt);
+    void taskStarted(FakeWorker worker, String task, int attempt);
 
     /** The machine hangs from now on. */
-    void hung(FakeWorker worker);
+    void machineFrozen(FakeWorker worker);
 
-    void ended(FakeWorker worker, String task);
+    void taskEnded(FakeWorker worker, String task);
 
-    void completed(String task);
+    void taskCompleted(String task);
 
     /** Whether nothing keeps the task from its end: a gang goes on only while all of it runs. */
     boolean mayComplete(String task);
