--- a/src/test/java/org/weldcourse/knownred/KnownRedExtension.java
+++ b/src/test/java/org/weldcourse/knownred/KnownRedExtension.java
@@ -9,7 +9,10 @@
 import org.junit.jupiter.api.extension.ReflectiveInvocationContext;
 import org.opentest4j.TestAbortedException;
 
-/** Runs the tests that are known to fail, lets the build pass over their failures, and fails when one of them passes. */
+/**
+ * Runs the tests listed as known failures. Their failures abort the test instead of failing the build, and a listed test
+ * that passes fails.
+ */
 public final class KnownRedExtension implements InvocationInterceptor {
     static final String FILE_PARAMETER = "weldcourse.known-red";
     private static final String DEFAULT_FILE = "KNOWN-RED.txt";
@@ -33,7 +36,7 @@
                     "KNOWN RED: %s fails (%s, %s): %s%n", entry.test(), entry.cause(), entry.issue(), failure);
             throw new TestAbortedException("known red: " + entry.cause(), failure);
         }
-        throw new AssertionError("KNOWN-RED: " + entry.test() + " passes, so its line has to go");
+        throw new AssertionError("KNOWN-RED: " + entry.test() + " passes; remove its entry from the list");
     }
 
     private static KnownRedList list(ExtensionContext context) {
--- a/src/test/java/org/weldcourse/knownred/KnownRedList.java
+++ b/src/test/java/org/weldcourse/knownred/KnownRedList.java
@@ -11,26 +11,26 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The tests that are known to fail, one line each: {@code package.Class#method; cause; issue N}. Empty lines and lines that
- * begin with {@code #} are comments.
+ * The list of tests that are known to fail. Each line has the form {@code package.Class#method; cause; issue N}; empty lines
+ * and lines that begin with {@code #} are ignored.
  */
 public record KnownRedList(List<Entry> entries) {
-    /** More failing tests than this are not to be lived with. */
-    public static final int MOST_ENTRIES = 3;
+    /** A longer list is refused, so that known failures get fixed instead of piling up. */
+    public static final int MAX_ENTRIES = 3;
 
     private static final int FIELDS = 3;
 
-    /** One test that is known to fail, why it does, and the issue that says so. */
+    /** A test that is known to fail, the cause of the failure, and the issue that tracks it. */
     public record Entry(String test, String cause, String issue) {}
 
-    /** A list that can't be used, with the reason. */
+    /** Thrown for an invalid list; the message states the reason. */
     public static final class Invalid extends RuntimeException {
         Invalid(String reason) {
             super("KNOWN-RED: " + reason);
         }
     }
 
-    /** Reads the list; a file that does not exist lists nothing. */
+    /** Reads the list; a missing file is an empty list. */
     public static KnownRedList read(Path file) throws IOException {
         try {
             return parse(Files.readAllLines(file));
@@ -43,38 +43,38 @@
         List<Entry> entries = new ArrayList<>();
         for (String line : lines) {
             if (!line.isBlank() && !line.startsWith("#")) {
-                entries.add(entry(line));
+                entries.add(parseEntry(line));
             }
         }
-        if (entries.size() > MOST_ENTRIES) {
-            throw new Invalid(entries.size() + " tests are listed, " + MOST_ENTRIES + " may be");
+        if (entries.size() > MAX_ENTRIES) {
+            throw new Invalid(entries.size() + " tests are listed, but at most " + MAX_ENTRIES + " are allowed");
         }
         return new KnownRedList(List.copyOf(entries));
     }
 
-    private static Entry entry(String line) {
+    private static Entry parseEntry(String line) {
         String[] fields = line.split(";", -1);
         if (fields.length != FIELDS) {
-            throw new Invalid("not a test, a cause and an issue: " + line);
+            throw new Invalid("expected \"package.Class#method; cause; issue N\", found: " + line);
         }
         Entry entry = new Entry(fields[0].strip(), fields[1].strip(), fields[2].strip());
         if (entry.test.isEmpty() || entry.cause.isEmpty() || entry.issue.isEmpty()) {
-            throw new Invalid("not a test, a cause and an issue: " + line);
+            throw new Invalid("expected \"package.Class#method; cause; issue N\", found: " + line);
         }
         return entry;
     }
 
-    /** The entry of a test method, if it is listed. */
+    /** Returns the entry of a test method, if it is listed. */
     public Optional<Entry> find(Method method) {
         String name = method.getDeclaringClass().getName() + "#" + method.getName();
         return entries.stream().filter(entry -> entry.test.equals(name)).findFirst();
     }
 
-    /** Fails unless each entry names a plain test method that exists. */
+    /** Throws {@link Invalid} unless each entry names an existing method with a {@code Test} annotation. */
     void checkThatTestsExist() {
         for (Entry entry : entries) {
             if (!exists(entry.test)) {
-                throw new Invalid("there is no such test: " + entry.test);
+                throw new Invalid("test does not exist or has no @Test annotation: " + entry.test);
             }
         }
     }
--- a/src/test/java/org/weldcourse/knownred/KnownRedTest.java
+++ b/src/test/java/org/weldcourse/knownred/KnownRedTest.java
@@ -14,14 +14,14 @@
 import org.junit.platform.testkit.engine.EngineTestKit;
 import org.junit.platform.testkit.engine.Events;
 
-/** What the list of known failures lets pass, and what it does not. */
+/** Verifies the list of known failures and how the extension treats listed and unlisted tests. */
 class KnownRedTest {
     private static final String SAMPLE = Sample.class.getName();
 
     @TempDir
     private Path directory;
 
-    /** Run by the tests below alone: the build does not look for tests in classes within classes. */
+    /** Executed only by the tests below: the build does not run nested classes as tests. */
     static class Sample {
         @Test
         void fails() {
@@ -32,7 +32,7 @@
         void passes() {}
     }
 
-    private Events play(String... lines) throws IOException {
+    private Events runSample(String... lines) throws IOException {
         Path file = directory.resolve("list.txt");
         Files.write(file, List.of(lines));
         return EngineTestKit.engine("junit-jupiter")
@@ -44,37 +44,38 @@
     }
 
     @Test
-    void theListAtTheRootNamesTestsThatExist() throws IOException {
+    void rootListNamesExistingTests() throws IOException {
         KnownRedList list = KnownRedList.read(Path.of("KNOWN-RED.txt"));
         list.checkThatTestsExist();
         list.entries().forEach(entry -> System.out.println("KNOWN RED listed: " + entry));
     }
 
     @Test
-    void aFailureThatIsNotListedFails() throws IOException {
-        Events events = play();
+    void unlistedFailureFails() throws IOException {
+        Events events = runSample();
         assertEquals(1, events.failed().count());
         assertEquals(1, events.succeeded().count());
     }
 
     @Test
-    void aListedTestIsRunAndItsFailurePassedOver() throws IOException {
-        Events events = play(SAMPLE + "#fails; a fault; issue 1");
+    void listedFailureRunsAndIsAborted() throws IOException {
+        Events events = runSample(SAMPLE + "#fails; a fault; issue 1");
         assertEquals(2, events.started().count());
         assertEquals(0, events.failed().count());
         assertEquals(1, events.aborted().count());
     }
 
     @Test
-    void aListedTestThatPassesFails() throws IOException {
-        Events events = play(SAMPLE + "#fails; a fault; issue 1", SAMPLE + "#passes; a fault; issue 1");
+    void listedTestThatPassesFails() throws IOException {
+        Events events = runSample(SAMPLE + "#fails; a fault; issue 1", SAMPLE + "#passes; a fault; issue 1");
         assertEquals(1, events.failed().count());
         assertEquals(0, events.succeeded().count());
     }
 
     @Test
-    void aListedTestThatDoesNotExistIsFound() {
-        for (String test : List.of(SAMPLE + "#missing", "org.weldcourse.Missing#fails", SAMPLE, SAMPLE + "#play")) {
+    void detectsListedTestsThatDoNotExist() {
+        for (String test :
+                List.of(SAMPLE + "#missing", "org.weldcourse.Missing#fails", SAMPLE, SAMPLE + "#runSample")) {
             KnownRedList list = KnownRedList.parse(List.of(test + "; a fault; issue 1"));
             assertTrue(assertThrows(KnownRedList.Invalid.class, list::checkThatTestsExist)
                     .getMessage()
@@ -84,11 +85,11 @@
     }
 
     @Test
-    void moreThanThreeOrHalfALineAreRefused() {
+    void refusesTooManyOrIncompleteEntries() {
         String line = SAMPLE + "#fails; a fault; issue 1";
         assertEquals(
                 3,
-                KnownRedList.parse(List.of("# why", "", line, line, line))
+                KnownRedList.parse(List.of("# comment", "", line, line, line))
                         .entries()
                         .size());
         assertThrows(KnownRedList.Invalid.class, () -> KnownRedList.parse(List.of(line, line, line, line)));
--- a/src/test/java/org/weldcourse/knownred/package-info.java
+++ b/src/test/java/org/weldcourse/knownred/package-info.java
@@ -1,2 +1,2 @@
-/** Tests that fail for a known fault: listed in a file, run all the same, and expected to fail. */
+/** Handling of known test failures: tests listed in KNOWN-RED.txt are run and expected to fail. */
 package org.weldcourse.knownred;
--- a/src/test/java/org/weldcourse/simulation/ClusterInvariants.java
+++ b/src/test/java/org/weldcourse/simulation/ClusterInvariants.java
@@ -14,12 +14,12 @@
 import org.weldcourse.simulation.SimulatedCluster.ApiResponse;
 
 /**
- * The rules of the protocol, watched from outside: what tasks do on machines, and what users are told. A task is on its
- * machine from the moment it has its image until it exits, is killed or the machine is gone, also while the machine hangs or
- * can't be reached.
+ * Checks the protocol's invariants on the tasks that run on machines and on the responses that users receive. A task counts
+ * as running on its machine from the end of its image pull until it exits, is killed or its machine is released, also while
+ * the machine is frozen or unreachable.
  */
 public final class ClusterInvariants implements TaskBehavior {
-    /** Within this time the tasks of a running gang notice that one of them is gone or its machine hangs. */
+    /** Time after which the members of a running gang detect that a member has ended or that its machine is frozen. */
     private static final long GANG_PEER_MICROS = 4_000_000;
 
     private static final double ROUNDING = 1e-9;
@@ -30,10 +30,10 @@
     private final Map<String, FakeWorker> workerByRunningTask = new HashMap<>();
     private final Map<String, Long> cancelledMicros = new HashMap<>();
     private final Set<String> completedTasks = new HashSet<>();
-    /** The latest that any node told of a job. */
+    /** The latest state of each job that any controller reported: open, done or cancelled. */
     private final Map<String, String> reportedStates = new HashMap<>();
 
-    /** How long the image of a job's tasks takes, where it is not there at once. */
+    /** Duration of the image pull of a job's tasks; 0 where a job has no entry. */
     public final Map<String, Long> fetchMicros = new HashMap<>();
 
     private final FakeClock clock;
@@ -48,22 +48,25 @@
         this.cancelMicros = cancelMicros;
     }
 
-    /** Told of each task that starts, after the rules were checked. */
+    /** Replaces the listeners that are called with the task and attempt of each start, after the checks have passed. */
     public void setStartListener(BiConsumer<String, Integer> listener) {
         setStartListener = listener;
     }
 
-    /** Told as well, after the listener that was there before. */
+    /** Adds a listener that is called after the existing ones; see {@link #setStartListener}. */
     public void addStartListener(BiConsumer<String, Integer> listener) {
         setStartListener = setStartListener.andThen(listener);
     }
 
-    /** The latest that any node told of the job, or null. */
+    /** The latest state of the job that any controller reported (open, done or cancelled), or null. */
     public String lastReportedState(String id) {
         return reportedStates.get(id);
     }
 
-    /** Fails when an answer is older than what was told before its question, or is not true. */
+    /**
+     * Fails when a response is wrong or older than {@code before}, the last state that was reported before the request was
+     * sent.
+     */
     public ApiResponse checkResponse(String id, String before, ApiResponse answer) {
         if (answer.status() != 200 && answer.status() != 201) {
             if (before != null && (answer.status() == 404 || answer.status() == 400 || answer.status() == 422)) {
@@ -74,7 +77,7 @@
         if (!jobs.containsKey(id)) {
             throw new AssertionError("invented: " + id);
         }
-        boolean over = "done".equals(answer.state()) || "cancelled".equals(answer.state());
+        boolean isFinal = "done".equals(answer.state()) || "cancelled".equals(answer.state());
         if (before != null && !before.equals("open") && !before.equals(answer.state())) {
             throw new AssertionError("went_back: " + id + " from " + before + ": " + answer);
         }
@@ -84,8 +87,8 @@
         if ("cancelled".equals(answer.state())) {
             cancelledMicros.putIfAbsent(id, clock.nowMicros());
         }
-        if (over || !reportedStates.containsKey(id)) {
-            reportedStates.put(id, over ? answer.state() : "open");
+        if (isFinal || !reportedStates.containsKey(id)) {
+            reportedStates.put(id, isFinal ? answer.state() : "open");
         }
         return answer;
     }
@@ -98,14 +101,17 @@
         }
     }
 
-    /** Whether the task is done; all tasks of a gang are with whichever of them is the first. */
+    /** Whether the task is done. All tasks of a gang are done as soon as one of them is. */
     public boolean isTaskDone(String id, int task) {
         return isGang(id)
                 ? completedTasks.stream().anyMatch(done -> done.startsWith(id + "/"))
                 : completedTasks.contains(id + "/" + task);
     }
 
-    /** A job that was accepted, and partly done, before this world began: its record holds the user's words. */
+    /**
+     * Adds a job that was accepted before the simulation started; {@code done} are the tasks that were done by then. Its
+     * record holds the fields of the submission.
+     */
     public void addExistingJob(Map<String, Object> record, BitSet done) {
         String id = Json.text(record, "name_id");
         jobs.put(id, record);
@@ -113,11 +119,11 @@
         done.stream().forEach(task -> completedTasks.add(id + "/" + task));
     }
 
-    /** Fails when a task of a cancelled job is still somewhere after the time that the rules allow. */
+    /** Fails when a task of a cancelled job still runs after the time allowed for cancellation. */
     public void checkCancelled() {
-        cancelledMicros.forEach((id, at) -> {
+        cancelledMicros.forEach((id, cancelledAtMicros) -> {
             for (String task : workerByRunningTask.keySet()) {
-                if (task.startsWith(id + "/") && clock.nowMicros() > at + cancelMicros) {
+                if (task.startsWith(id + "/") && clock.nowMicros() > cancelledAtMicros + cancelMicros) {
                     throw new AssertionError("ran_cancelled: " + task);
                 }
             }
@@ -173,7 +179,7 @@
         startsAfterCancellation += cancelled == null ? 0 : 1;
         Map<String, Object> job = jobs.get(id);
         if (job == null) {
-            throw new AssertionError("a task of no job: " + task);
+            throw new AssertionError("task of an unknown job: " + task);
         }
         checkPlacement(job, id, worker);
         workerByRunningTask.put(task, worker);
@@ -218,7 +224,7 @@
         }
     }
 
-    /** The tasks of the gang that still run give up. */
+    /** Ends the members of the gang that still run this attempt. */
     private void failGangMembers(String id, int attempt) {
         if (isTaskDone(id, 0)) {
             return;
@@ -232,29 +238,29 @@
     }
 
     private void checkPlacement(Map<String, Object> job, String id, FakeWorker worker) {
-        FakeCloud.RentedMachine at = worker.machine();
-        boolean wrong = job.get("rigs") != null && !Json.list(job.get("rigs")).contains(at.type())
-                || job.get("yard") != null && !job.get("yard").equals(at.zone())
-                || !Json.flag(job, "loaners") && at.spot();
+        FakeCloud.RentedMachine machine = worker.machine();
+        boolean wrong = job.get("rigs") != null && !Json.list(job.get("rigs")).contains(machine.type())
+                || job.get("yard") != null && !job.get("yard").equals(machine.zone())
+                || !Json.flag(job, "loaners") && machine.spot();
         Set<String> zones = new HashSet<>();
         int sameZone = 1;
         for (Map.Entry<String, FakeWorker> entry : workerByRunningTask.entrySet()) {
             if (entry.getKey().startsWith(id + "/")) {
                 String zone = entry.getValue().machine().zone();
                 zones.add(zone);
-                sameZone += zone.equals(at.zone()) ? 1 : 0;
+                sameZone += zone.equals(machine.zone()) ? 1 : 0;
             }
         }
-        zones.add(at.zone());
+        zones.add(machine.zone());
         long tasks = Json.integer(job, "beads", 0);
         wrong |= Json.flag(job, "together") && zones.size() > 1;
         wrong |= Json.flag(job, "apart") && sameZone > (tasks + 1) / 2;
         if (wrong) {
-            throw new AssertionError("wrong_place: " + id + " on " + at);
+            throw new AssertionError("wrong_place: " + id + " on " + machine);
         }
     }
 
-    /** All teams, since what any of them has on machines may have become too much by now. */
+    /** Checks the limits of all teams, not only that of the team whose task has just started. */
     private void checkQuota() {
         for (Settings.Team team : teams) {
             checkQuota(team);
@@ -311,8 +317,8 @@
     }
 
     /**
-     * The tasks of a gang complete together: none does while one of them is not there. That its machine hangs the others
-     * notice only after a while, and may have completed by then.
+     * The tasks of a gang complete together: none completes while a member does not run. The members detect a frozen machine
+     * only after {@link #GANG_PEER_MICROS} and may complete until then.
      */
     @Override
     public boolean mayComplete(String task) {
--- a/src/test/java/org/weldcourse/simulation/FakeClock.java
+++ b/src/test/java/org/weldcourse/simulation/FakeClock.java
@@ -5,7 +5,7 @@
 import org.weldcourse.runtime.Clock;
 import org.weldcourse.runtime.Timers;
 
-/** A clock that moves only when told to, and the timers that hang on it. */
+/** A clock and its timers that advance only in calls to {@link #pass}. */
 public final class FakeClock implements Clock, Timers {
     private record ScheduledTask(long atMicros, long order, Runnable work, boolean[] cancelled) {}
 
@@ -31,7 +31,7 @@
         return () -> cancelled[0] = true;
     }
 
-    /** Lets time pass and runs what falls due on the way. */
+    /** Advances the clock and runs the timers that fall due, each at its own time. */
     public void pass(long micros) {
         long endMicros = nowMicros + micros;
         while (!queue.isEmpty() && queue.peek().atMicros <= endMicros) {
--- a/src/test/java/org/weldcourse/simulation/FakeCloud.java
+++ b/src/test/java/org/weldcourse/simulation/FakeCloud.java
@@ -11,9 +11,9 @@
 import org.weldcourse.http.Json;
 import org.weldcourse.http.Server;
 
-/** The cloud: two machine types in two zones, machines that come up after a while, and no lag but what is asked. */
+/** Fake cloud API with two machine types in two zones, a boot delay, and lists without lag. */
 public final class FakeCloud implements Server.Handler {
-    /** A machine as it was rented. */
+    /** A rented machine with the type, zone and pricing of its request. */
     public record RentedMachine(String name, String type, String zone, boolean spot) {}
 
     private final FakeClock clock;
@@ -26,7 +26,7 @@
     private final Map<String, Long> rentedMicros = new HashMap<>();
     private int machinesCreated;
     private boolean down;
-    private boolean sendMalformedResponses;
+    private boolean malformed;
     public int capacity = 100;
     private int refused;
     public final List<String> released = new ArrayList<>();
@@ -42,26 +42,26 @@
         this.onMachineReleased = onMachineReleased;
     }
 
-    /** Answers 200 with lists of what nobody asked for. */
-    public void sendMalformedResponses(boolean isNonsense) {
-        sendMalformedResponses = isNonsense;
+    /** Answers all requests with status 200 and a malformed body. */
+    public void sendMalformedResponses(boolean isMalformed) {
+        malformed = isMalformed;
     }
 
     public void down(boolean isDown) {
         down = isDown;
     }
 
-    /** Numbers new machines from here on: those with lower numbers belong to an earlier day. */
+    /** Sets the number of the next machine, so that new names differ from those in records of an earlier run. */
     public void setNextMachineNumber(int number) {
         machinesCreated = number;
     }
 
-    /** How many calls it refused while it was down. */
+    /** Number of requests refused while the cloud was down. */
     public int refused() {
         return refused;
     }
 
-    /** How many machines there were in all, those that are gone among them. */
+    /** Number of machines created so far, including released ones. */
     public int machinesCreated() {
         return machinesCreated;
     }
@@ -70,7 +70,7 @@
         return new HashSet<>(machines.keySet());
     }
 
-    /** A machine that nobody here asked for. */
+    /** Adds a machine that no controller requested, and returns its name. */
     public String addUnrequested(String type, String zone, boolean spot) {
         return make(type, zone, spot);
     }
@@ -96,7 +96,7 @@
             reply.send(503, Json.of("error", "trouble"));
             return;
         }
-        if (sendMalformedResponses) {
+        if (malformed) {
             reply.send(
                     200, Json.of("forges", List.of(7, Map.of("name_id", 3), "no"), "has_next", "perhaps", "rigs", 5));
             return;
--- a/src/test/java/org/weldcourse/simulation/FakeNetwork.java
+++ b/src/test/java/org/weldcourse/simulation/FakeNetwork.java
@@ -8,7 +8,7 @@
 import org.weldcourse.http.Json;
 import org.weldcourse.http.Server;
 
-/** Carries requests between scripted peers. Addresses can be cut off, and answers can be lost. */
+/** In-memory network between clients and handlers, with partitions, latency, refusals and lost responses. */
 public final class FakeNetwork {
     private static final long ONE_WAY_MICROS = 1_000;
 
@@ -20,7 +20,10 @@
     private final Map<String, Long> latencyMicros = new HashMap<>();
     private FaultInjection faults = (from, call) -> NORMAL;
 
-    /** What becomes of a call: normal, carried out at once with its answer lost, or after so long with no answer. */
+    /**
+     * Decides the outcome of each call: {@link #NORMAL}, {@link #RESPONSE_LOST}, {@link #responseDelayedBy}, or a positive
+     * delay in microseconds after which the call is executed and its response lost.
+     */
     public interface FaultInjection {
         long of(String from, HttpClient.Call call);
     }
@@ -28,7 +31,7 @@
     public static final long NORMAL = -1;
     public static final long RESPONSE_LOST = 0;
 
-    /** The call is carried out as usual, and its answer comes so much later. */
+    /** Outcome of a call that is executed normally and whose response arrives {@code micros} later. */
     public static long responseDelayedBy(long micros) {
         return NORMAL - micros;
     }
@@ -37,7 +40,7 @@
         faults = newFaults;
     }
 
-    /** One caller alone gets 503 from an address; the watches that it has open there wait. */
+    /** Answers the requests of one caller to an address with 503; its open watches there get no response. */
     public void refuse(String from, String to, boolean refused) {
         if (refused) {
             refusals.add(from + ">" + to);
@@ -46,7 +49,7 @@
         }
     }
 
-    /** Every call to the address takes so much longer to arrive. */
+    /** Sets the additional latency of all requests to the address. */
     public void setLatency(String to, long micros) {
         latencyMicros.put(to, micros);
     }
@@ -63,7 +66,7 @@
         handlers.remove(address);
     }
 
-    /** Requests from one to the other get lost without a word. */
+    /** Drops requests from one address to the other; the caller sees a timeout. */
     public void cut(String from, String to) {
         cuts.add(from + ">" + to);
     }
@@ -72,7 +75,7 @@
         cuts.remove(from + ">" + to);
     }
 
-    /** Requests from this caller are carried out, but no answer comes back. */
+    /** Executes the requests of this caller but drops the responses. */
     public void loseResponses(String from, boolean lose) {
         if (lose) {
             lostResponseCallers.add(from);
@@ -104,10 +107,11 @@
                 byte[] body = call.body() == null ? new byte[0] : Json.bytes(call.body());
                 handler.handle(
                         new Server.Request(call.method(), call.path(), body), (status, response, retryAfterSeconds) -> {
-                            // Through bytes, so that no object is shared between the two sides.
+                            // Serialized, so that the two sides share no mutable objects.
                             byte[] bytes = Json.bytes(response);
                             if (call.path().equals("/checkin") && bytes.length > 64 * 1024) {
-                                throw new AssertionError("an answer of " + bytes.length + " bytes to a worker");
+                                throw new AssertionError(
+                                        "heartbeat response of " + bytes.length + " bytes exceeds 64 KiB");
                             }
                             Map<String, Object> copy = Json.objectOrEmpty(bytes);
                             clock.after(ONE_WAY_MICROS + Math.max(0, NORMAL - outcome), () -> {
--- a/src/test/java/org/weldcourse/simulation/FakeStore.java
+++ b/src/test/java/org/weldcourse/simulation/FakeStore.java
@@ -11,7 +11,7 @@
 import org.weldcourse.http.Json;
 import org.weldcourse.http.Server;
 
-/** The state service as the protocol describes it, in memory. */
+/** In-memory fake of the replicated store that implements the store's protocol. */
 public final class FakeStore implements Server.Handler {
     private record Value(Object value, long version, long lease) {}
 
@@ -35,7 +35,7 @@
     private String unguardedPrefix;
     private String lostPrefix;
 
-    /** One change of a commit; {@code value} is null for a key that was deleted. */
+    /** One write or deletion of a transaction; {@code value} is null for a deletion. */
     public record CommittedWrite(String key, Map<String, Object> value, long version) {}
 
     public FakeStore(FakeClock clock, int maxTransactionOps, int maxValueBytes) {
@@ -44,22 +44,22 @@
         this.maxValueBytes = maxValueBytes;
     }
 
-    /** Told of the changes of each transaction that is carried out. */
+    /** Sets the listener that is called with the changes of each committed transaction. */
     public void onCommit(Consumer<List<CommittedWrite>> listener) {
         onCommit = listener;
     }
 
-    /** Conditions on keys with this prefix always hold from now on: what a service does that forgets to guard. */
+    /** Ignores guards on keys with this prefix from now on, as a store that fails to check them would. */
     public void ignoreGuards(String prefix) {
         unguardedPrefix = prefix;
     }
 
-    /** Writes to keys with this prefix are answered as carried out and lost. */
+    /** Acknowledges writes to keys with this prefix from now on, but discards them. */
     public void loseWrites(String prefix) {
         lostPrefix = prefix;
     }
 
-    /** During an outage everything is refused; when it is over, leases have their full time again. */
+    /** Starts or ends an outage. All requests are refused during an outage, and each lease has its full TTL after it. */
     public void down(boolean isDown) {
         if (down && !isDown) {
             leaseEnds.replaceAll((lease, end) -> clock.nowMicros() + leaseTtls.get(lease));
@@ -83,24 +83,24 @@
         return keys;
     }
 
-    /** From now on it takes no more than this; what it holds stays as it is. */
+    /** Changes the limits on transactions and values; stored records stay as they are. */
     public void limit(int newMaxTransactionOps, int newMaxValueBytes) {
         maxTransactionOps = newMaxTransactionOps;
         maxValueBytes = newMaxValueBytes;
     }
 
-    /** Puts a record there as another version wrote it. */
+    /** Writes a record directly, for example one in the format of another version. */
     public void putRecord(String key, Object value) {
         revision++;
         put(key, new Value(Json.objectOrEmpty(Json.bytes(value)), revision, 0));
     }
 
-    /** Makes nonsense of a value behind everybody's back. */
+    /** Replaces the value of an existing key without a new version or a watch event. */
     public void corrupt(String key, Object value) {
         values.computeIfPresent(key, (same, old) -> new Value(value, old.version, old.lease));
     }
 
-    /** Takes a key away without a word to any watch. */
+    /** Removes a key without a watch event. */
     public void removeWithoutEvent(String key) {
         values.remove(key);
     }
@@ -109,7 +109,7 @@
         return requests;
     }
 
-    /** How often a key with this prefix was written. */
+    /** Number of writes to keys with this prefix, without deletions. */
     public int puts(String prefix) {
         return (int) changes.stream()
                 .filter(change -> change.value != null && change.key.startsWith(prefix))
@@ -145,7 +145,7 @@
         } else if (path.endsWith("/extend")) {
             extend(Long.parseLong(path.split("/")[2]), reply);
         } else if (path.startsWith("/grants/")) {
-            expireLease(Long.parseLong(path.split("/")[2]));
+            endLease(Long.parseLong(path.split("/")[2]));
             reply.send(200, Map.of());
         } else if (path.startsWith("/watch")) {
             watch(
@@ -214,12 +214,12 @@
     private void commit(Map<String, Object> body, Server.Reply reply) {
         List<Object> operations = Json.list(body.get("then"));
         if (operations.size() > maxTransactionOps || Json.bytes(body).length > 64 * 1024) {
-            throw new AssertionError("a transaction over the limits: " + operations.size() + " changes");
+            throw new AssertionError("transaction exceeds the limits of the store: " + operations.size() + " changes");
         }
         for (Object item : operations) {
             Map<String, Object> op = Json.object(item);
             if (op.containsKey("write") && Json.bytes(op.get("value")).length > maxValueBytes) {
-                throw new AssertionError("a value over the limit: " + op.get("write"));
+                throw new AssertionError("value exceeds the size limit of the store: " + op.get("write"));
             }
             long lease = Json.integer(op, "permit", 0);
             if (lease != 0 && !leaseEnds.containsKey(lease)) {
@@ -298,12 +298,12 @@
         }
         for (Map.Entry<Long, Long> entry : new HashMap<>(leaseEnds).entrySet()) {
             if (entry.getValue() <= clock.nowMicros()) {
-                expireLease(entry.getKey());
+                endLease(entry.getKey());
             }
         }
     }
 
-    private void expireLease(long lease) {
+    private void endLease(long lease) {
         if (leaseEnds.remove(lease) == null) {
             return;
         }
@@ -320,7 +320,7 @@
         }
     }
 
-    /** Watches from before now are too old from here on. */
+    /** Discards the history of changes: watches from an earlier revision are answered with status 410. */
     public void compactHistory() {
         changes.clear();
         compactedRevision = revision;
@@ -354,20 +354,20 @@
         check.run();
         if (!answered[0]) {
             watchers.add(check);
-            clock.after(waitMicros, () -> answerIfExpired(answered, check, reply));
+            clock.after(waitMicros, () -> answerAfterTimeout(answered, check, reply));
         }
     }
 
-    /** The watch has waited its time; in an outage it stays open. */
-    private void answerIfExpired(boolean[] answered, Runnable check, Server.Reply reply) {
+    /** Answers a watch whose waiting time is over. It stays open during an outage. */
+    private void answerAfterTimeout(boolean[] answered, Runnable check, Server.Reply reply) {
         if (answered[0]) {
             return;
         }
         if (down) {
-            clock.after(100_000, () -> answerIfExpired(answered, check, reply));
+            clock.after(100_000, () -> answerAfterTimeout(answered, check, reply));
             return;
         }
-        // What was committed since the watchers were last woken belongs into this answer: it names the newest revision.
+        // The response names the newest revision, so it must contain all changes committed up to that revision.
         check.run();
         if (!answered[0]) {
             answered[0] = true;
--- a/src/test/java/org/weldcourse/simulation/FakeTask.java
+++ b/src/test/java/org/weldcourse/simulation/FakeTask.java
@@ -1,6 +1,6 @@
 package org.weldcourse.simulation;
 
-/** A task on a scripted worker, under one attempt. */
+/** One attempt of a task on a fake worker. */
 final class FakeTask {
     static final String FETCHING = "fetching";
     static final String GATHERING = "gathering";
--- a/src/test/java/org/weldcourse/simulation/FakeTaskRunner.java
+++ b/src/test/java/org/weldcourse/simulation/FakeTaskRunner.java
@@ -6,7 +6,10 @@
 import java.util.Map;
 import org.weldcourse.http.Json;
 
-/** The tasks on one scripted machine, from their image to their exit. How long images take and tasks run is up to the test. */
+/**
+ * Runs the tasks of one fake worker, from the image pull to the exit. {@link TaskBehavior} decides how long pulls and runs
+ * take.
+ */
 final class FakeTaskRunner {
     private static final long GANG_COMPLETION_RETRY_MICROS = 100_000;
     private static final long GANG_WAIT_MICROS = 40_000_000;
@@ -33,12 +36,12 @@
         return present;
     }
 
-    /** How many tasks a heartbeat lists, those that have exited and are not forgotten among them. */
+    /** Number of tasks that a heartbeat lists, including exited tasks that the leader has not told the worker to forget. */
     int count() {
         return tasks.size();
     }
 
-    /** The tasks as a heartbeat lists them. */
+    /** Returns the task list of a heartbeat. */
     List<Object> statuses() {
         List<Object> statuses = new ArrayList<>();
         tasks.forEach((id, task) -> {
@@ -51,7 +54,7 @@
         return statuses;
     }
 
-    /** All of them are killed, and nobody is told. */
+    /** Kills all tasks without reporting an exit. */
     void dropAll() {
         new ArrayList<>(tasks.keySet()).forEach(this::drop);
     }
@@ -84,7 +87,7 @@
             return;
         }
         if (task != null && !task.isExited()) {
-            throw new AssertionError(taskId + " was started over its own other attempt on "
+            throw new AssertionError(taskId + " was started while another attempt of it was active on "
                     + worker.machine().name());
         }
         FakeTask newTask = new FakeTask(attempt);
@@ -119,7 +122,7 @@
         }
     }
 
-    /** All tasks of the gang are there. */
+    /** Starts the task: all members of its gang have their image. */
     void startWithGang(String taskId) {
         worker.runWhenNotFrozen(() -> {
             FakeTask task = tasks.get(taskId);
@@ -140,13 +143,13 @@
         }
     }
 
-    /** The attempt of a task that is on the machine, or 0. */
+    /** The attempt of an active task, or 0. */
     int attempt(String taskId) {
         FakeTask task = tasks.get(taskId);
         return task == null || task.isExited() ? 0 : task.attempt;
     }
 
-    /** A running gang has lost a task. */
+    /** Ends a member of a running gang that has lost another member. */
     void gangMemberLost(String taskId, int attempt) {
         worker.runWhenNotFrozen(() -> {
             FakeTask task = tasks.get(taskId);
@@ -167,9 +170,9 @@
         exit(taskId, task, cause);
     }
 
-    /** The gang of the task is done, and so is the task. */
+    /** Completes the task together with another member of its gang. */
     void completeWithGang(String taskId) {
-        // A machine that hangs does not end its task before it goes on.
+        // A frozen machine completes its task only after it resumes.
         worker.runWhenNotFrozen(() -> {
             FakeTask task = tasks.get(taskId);
             if (task != null && task.state.equals(FakeTask.RUNNING)) {
--- a/src/test/java/org/weldcourse/simulation/FakeWorker.java
+++ b/src/test/java/org/weldcourse/simulation/FakeWorker.java
@@ -7,7 +7,7 @@
 import org.weldcourse.http.Json;
 import org.weldcourse.http.Server;
 
-/** A worker on one machine: its heartbeats, its lease and the orders that it takes. What tasks do is up to {@link FakeTaskRunner}. */
+/** Fake worker on one machine: sends heartbeats, tracks its lease and executes commands with a {@link FakeTaskRunner}. */
 public final class FakeWorker implements Server.Handler {
     private static final long HEARTBEAT_TIMEOUT_MICROS = 4_000_000;
 
@@ -72,12 +72,12 @@
         return fencingToken;
     }
 
-    /** Tasks that are on the machine, in the rules' sense. */
+    /** Tasks on the machine that have not exited, including those that still pull their image. */
     public List<String> presentTasks() {
         return tasks.active();
     }
 
-    /** What runs and ran on the machine. */
+    /** The runner of the tasks on this machine. */
     FakeTaskRunner tasks() {
         return tasks;
     }
@@ -86,7 +86,7 @@
         return lastSentMicros;
     }
 
-    /** All that it ever sent, for copies of it to come late. */
+    /** All heartbeats sent so far, so that tests can deliver them again later. */
     public List<Map<String, Object>> heartbeats() {
         return heartbeats;
     }
@@ -104,12 +104,12 @@
         return frozen;
     }
 
-    /** Whether it has been hanging for so long without a pause. */
+    /** Whether the machine has been frozen for at least {@code micros} without interruption. */
     public boolean isFrozenFor(long micros) {
         return frozen && clock.nowMicros() - frozenSinceMicros >= micros;
     }
 
-    /** It hangs: nothing on it goes on, and what comes for it waits until it does. */
+    /** Freezes or resumes the machine. Its tasks, timers and incoming messages wait while it is frozen. */
     public void freeze(boolean isFrozen) {
         if (isFrozen && !frozen) {
             frozenSinceMicros = clock.nowMicros();
@@ -125,7 +125,7 @@
         }
     }
 
-    /** Does the work now, or when the machine no longer hangs. */
+    /** Runs the work now or, on a frozen machine, when it resumes. */
     void runWhenNotFrozen(Runnable work) {
         if (frozen) {
             deferredWork.add(work);
@@ -134,7 +134,7 @@
         }
     }
 
-    /** Tasks whose worker was not answered within its lease are killed. */
+    /** Kills all tasks and starts a new incarnation when no heartbeat sent within the lease was answered. */
     private void killTasksIfLeaseExpired() {
         if (clock.nowMicros() - answeredSentMicros > leaseMicros) {
             tasks.dropAll();
@@ -161,7 +161,7 @@
         clock.after(100_000, this::tick);
     }
 
-    /** A change makes for a heartbeat at once, but no sooner than half a second after the last one. */
+    /** Sends a heartbeat after a change at once, but not within half a second of the previous heartbeat. */
     void scheduleHeartbeat() {
         clock.after(Math.max(0, lastSentMicros + 500_000 - clock.nowMicros()), this::sendHeartbeat);
     }
@@ -183,7 +183,7 @@
                     if (!alive || sentIncarnation != incarnation) {
                         return;
                     }
-                    // What came while it hung is dropped when it goes on too late.
+                    // Drops a response that arrived while the machine was frozen and is handled after the timeout.
                     boolean inTime = clock.nowMicros() - sentMicros <= HEARTBEAT_TIMEOUT_MICROS;
                     if (inTime && answer.status() == 421) {
                         String leader = addressByName.get(Json.text(answer.body(), "foreman"));
@@ -213,7 +213,7 @@
         tasks.execute(Json.list(body.get("orders")));
     }
 
-    /** How many messages came to it directly and were carried out. */
+    /** Number of command messages that controllers sent directly and that were executed. */
     public int directCommands() {
         return directCommands;
     }
--- a/src/test/java/org/weldcourse/simulation/JobBodies.java
+++ b/src/test/java/org/weldcourse/simulation/JobBodies.java
@@ -3,11 +3,11 @@
 import java.util.Map;
 import org.weldcourse.http.Json;
 
-/** Bodies of submissions, as users send them. */
+/** Creates the JSON bodies of job submissions. */
 public final class JobBodies {
     private JobBodies() {}
 
-    /** An array of four tasks of the team core; {@code changes} are names and values of fields that differ. */
+    /** Returns an array job of four tasks for team core; {@code changes} lists fields to override, as names and values. */
     public static Map<String, Object> jobBody(String id, Object... changes) {
         Map<String, Object> job = Json.of(
                 "name_id",
--- a/src/test/java/org/weldcourse/simulation/LoopbackCluster.java
+++ b/src/test/java/org/weldcourse/simulation/LoopbackCluster.java
@@ -23,8 +23,8 @@
 import org.weldcourse.settings.Settings;
 
 /**
- * State service, cloud and workers of the simulated world on the loopback, in real time, for controllers that are real
- * processes. All stand-ins live on one event loop; a rule that breaks there is kept until the test asks for it.
+ * A cluster on the loopback interface in real time: controllers as separate processes with a fake store, cloud and workers.
+ * All fakes run on one event loop, and the first violated invariant there is recorded for {@link #throwFailure}.
  */
 public final class LoopbackCluster {
     private static final String HOST = "127.0.0.1";
@@ -50,17 +50,19 @@
     private final Map<String, Integer> peerPorts = new LinkedHashMap<>();
     private final Map<String, Process> processes = new ConcurrentHashMap<>();
     private final Path directory;
-    /** Each controller has ports of its own for state service and cloud, so that its link can fail alone. */
+    /** Ports of the store, one for each controller, so that a fault can hit the link of a single controller. */
     private final Map<String, Integer> statePorts = new LinkedHashMap<>();
 
+    /** Ports of the cloud, one for each controller as well. */
     private final Map<String, Integer> cloudPorts = new LinkedHashMap<>();
+
     private final Map<String, PeerProxy> peerProxies = new LinkedHashMap<>();
     private final NetworkFaults faults;
     private final List<String> options;
     private long lastTickNanos = System.nanoTime();
     private volatile AssertionError failure;
 
-    /** Where a worker listens; the handler changes with the machine that has the address. */
+    /** An address that workers listen on; its handler changes when another machine takes it over. */
     private static final class WorkerAddress {
         final String address;
         Server.Handler handler = (request, reply) -> reply.send(404, Map.of());
@@ -70,7 +72,7 @@
         }
     }
 
-    /** Stand-ins for so many controllers and machines; {@code options} are added to the controllers' command. */
+    /** Starts the fakes, but no controller yet; {@code options} are appended to the start command of each controller. */
     public LoopbackCluster(
             int controllers, int machines, List<Settings.Team> teams, Path directory, List<String> options)
             throws IOException, InterruptedException {
@@ -86,7 +88,6 @@
             WorkerAddress[] worker = new WorkerAddress[1];
             int port = serve((request, reply) -> worker[0].handler.handle(request, reply));
             worker[0] = new WorkerAddress(HOST + ":" + port);
-
             freeAddresses.add(worker[0]);
         }
         for (int i = 0; i < controllers; i++) {
@@ -105,7 +106,7 @@
                 }
             }
         }
-        // A test run that is stopped leaves no controllers behind.
+        // An interrupted test run must not leave controller processes behind.
         Runtime.getRuntime().addShutdownHook(new Thread(this::endProcesses));
         loop.scheduleAtFixedRate(this::tick, TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
     }
@@ -129,31 +130,33 @@
     private void recordFailures(Runnable work) {
         try {
             work.run();
-        } catch (AssertionError broken) {
-            failure = failure == null ? broken : failure;
+        } catch (AssertionError violation) {
+            failure = failure == null ? violation : failure;
         } catch (RuntimeException unexpected) {
-            failure = failure == null ? new AssertionError("a stand-in failed", unexpected) : failure;
+            failure = failure == null
+                    ? new AssertionError("unexpected exception in a fake service", unexpected)
+                    : failure;
         }
     }
 
-    /** Fails with the first rule that broke, if any did. */
+    /** Throws the first recorded failure, if any. */
     public void throwFailure() {
         if (failure != null) {
             throw failure;
         }
     }
 
-    /** Runs on the stand-ins' event loop and hands back what came of it. */
+    /** Runs on the event loop of the fakes and returns the result. */
     public <T> T callOnEventLoop(Supplier<T> work) throws Exception {
         return CompletableFuture.supplyAsync(work, loop).get(30, TimeUnit.SECONDS);
     }
 
-    /** Keeps a rule that breaks in this, which runs on the event loop already. */
+    /** Runs work that is on the event loop already, and records its failure for {@link #throwFailure}. */
     public void recordFailure(Runnable work) {
         recordFailures(work);
     }
 
-    /** Runs on the stand-ins' event loop; a rule that breaks there is kept. */
+    /** Runs work on the event loop without waiting for it, and records its failure for {@link #throwFailure}. */
     public void runOnEventLoop(Runnable work) {
         loop.execute(() -> recordFailures(work));
     }
@@ -186,18 +189,18 @@
         return names;
     }
 
-    /** The workers by the names of their machines. */
+    /** The workers by machine name. */
     public Map<String, FakeWorker> workers() {
         return workers;
     }
 
-    /** The machine loses its power, and the cloud lists it on. */
+    /** Stops the machine abruptly; the cloud still lists it as running. */
     public void powerOffMachine(String name) {
         workers.remove(name).kill();
         addresses.get(name).handler = (request, reply) -> {};
     }
 
-    /** The machine is back from one moment to the next, empty. */
+    /** Replaces the machine's worker with a new one that has no tasks. */
     public void restartMachine(String name) {
         FakeWorker worker = workers.remove(name);
         worker.kill();
@@ -205,7 +208,7 @@
         machineUp(worker.machine());
     }
 
-    /** What goes wrong on the links of this cluster. */
+    /** The faults injected into the links of this cluster. */
     public NetworkFaults faults() {
         return faults;
     }
@@ -218,7 +221,7 @@
         return time;
     }
 
-    /** A caller on the stand-ins' event loop. */
+    /** An HTTP client on the event loop of the fakes. */
     public NettyHttpClient client() {
         return new NettyHttpClient(loop, () -> 4);
     }
@@ -242,12 +245,12 @@
         return List.copyOf(apiPorts.keySet());
     }
 
-    /** Where users reach a controller. */
+    /** The address of a controller's user API. */
     public String api(String name) {
         return HOST + ":" + apiPorts.get(name);
     }
 
-    /** Starts a controller as a process of its own. */
+    /** Starts the process of a controller. */
     public void start(String name) throws IOException, InterruptedException {
         for (String other : names()) {
             if (!other.equals(name)) {
@@ -266,7 +269,7 @@
                         .start());
     }
 
-    /** Ends a controller's process without a word. */
+    /** Kills the process of a controller. */
     public void kill(String name) throws InterruptedException {
         processes.get(name).destroyForcibly().waitFor();
         for (String other : names()) {
@@ -276,13 +279,13 @@
         }
     }
 
-    /** Whether the controller's process runs, be it frozen. */
+    /** Whether the controller's process exists; a frozen process does. */
     public boolean isAlive(String name) {
         Process process = processes.get(name);
         return process != null && process.isAlive();
     }
 
-    /** Lets a controller's process stand still, or go on. */
+    /** Suspends or resumes the process of a controller. */
     public void freeze(String name, boolean frozen) throws Exception {
         String signal = frozen ? "-STOP" : "-CONT";
         new ProcessBuilder("kill", signal, String.valueOf(processes.get(name).pid()))
@@ -290,7 +293,7 @@
                 .waitFor();
     }
 
-    /** The controller that leads by the records, or null. */
+    /** The leader according to the record in the store, or null. */
     public String leader() throws Exception {
         return callOnEventLoop(() -> {
             Map<String, Object> leader = state.value("leader");
@@ -298,7 +301,7 @@
         });
     }
 
-    /** The settings of a controller, as the platform hands them over. */
+    /** Writes the settings file of a controller in the format of the deployment platform. */
     public Path settingsFile(String name) throws IOException {
         StringBuilder text = new StringBuilder();
         text.append("host_name = \"").append(name).append("\"\nsite = \"a\"\n");
@@ -353,7 +356,7 @@
         processes.values().forEach(Process::destroyForcibly);
     }
 
-    /** Ends all processes and stand-ins. */
+    /** Stops all processes and fakes. */
     public void close() throws InterruptedException {
         for (Process process : processes.values()) {
             process.destroyForcibly().waitFor();
--- a/src/test/java/org/weldcourse/simulation/NetworkFaults.java
+++ b/src/test/java/org/weldcourse/simulation/NetworkFaults.java
@@ -13,13 +13,13 @@
 import org.weldcourse.http.Server;
 
 /**
- * What goes wrong on the way between two ends: cuts in one direction, refusals, delays, lost answers, late and repeated
- * messages. Everything that took effect is counted. Used on one thread alone.
+ * Injects faults into the links between endpoints: partitions in one direction, refusals, latency, lost responses, late
+ * execution and duplicates. Counts each fault that takes effect. Not thread-safe.
  */
 public final class NetworkFaults {
     public static final String STATE = "state";
     public static final String CLOUD = "cloud";
-    /** Stands for a caller that can't be told from others. */
+    /** Stands for any endpoint, where a message does not tell which one sends or receives it. */
     public static final String ANY_ENDPOINT = "anybody";
 
     private static final long MIN_LATE_MICROS = 2_000_000;
@@ -36,7 +36,7 @@
     private final List<Runnable> onHeal = new ArrayList<>();
     private Random random = new Random(0);
 
-    /** What became of a message. */
+    /** The effect of a fault on a message. */
     public enum Effect {
         REQUEST_CUT,
         ANSWER_CUT,
@@ -52,22 +52,22 @@
         this.clock = clock;
     }
 
-    /** The name of the way from one end to the other. */
+    /** Returns the name of the link from one endpoint to another. */
     public static String link(String from, String to) {
         return from + ">" + to;
     }
 
-    /** Decides from here on by this seed. */
+    /** Restarts the random decisions from this seed. */
     public void seed(long seed) {
         random = new Random(seed);
     }
 
-    /** Whatever goes from the one to the other gets lost, or on peers' connections waits. */
+    /** Cuts the link in this direction: HTTP messages are lost, and bytes between peers wait until the link is healed. */
     public void cut(String from, String to) {
         cuts.add(link(from, to));
     }
 
-    /** The way is whole again, in this direction. */
+    /** Heals the link in this direction. */
     public void heal(String from, String to) {
         cuts.remove(link(from, to));
         List.copyOf(onHeal).forEach(Runnable::run);
@@ -81,7 +81,7 @@
         onHeal.add(work);
     }
 
-    /** The callee refuses this caller with 503, or serves it again. */
+    /** Starts or stops refusing the requests on this link with status 503. */
     public void refuse(String from, String to, boolean refused) {
         if (refused) {
             refusals.add(link(from, to));
@@ -90,27 +90,27 @@
         }
     }
 
-    /** Each message takes so much longer. */
+    /** Sets the additional latency of requests on this link. */
     public void setLatency(String from, String to, long micros) {
         latencyMicros.put(link(from, to), micros);
     }
 
-    /** Of this share of the messages the answer gets lost. */
+    /** Drops the response to this share of the requests. */
     public void loseResponses(String from, String to, double share) {
         lostResponseShares.put(link(from, to), share);
     }
 
-    /** This share of the messages is carried out late, and never answered. */
+    /** Executes this share of the requests seconds later, without a response. */
     public void executeLate(String from, String to, double share) {
         lateShares.put(link(from, to), share);
     }
 
-    /** This share of the messages comes again some seconds later. */
+    /** Sends a copy of this share of the requests some seconds later. */
     public void duplicate(String from, String to, double share) {
         duplicateShares.put(link(from, to), share);
     }
 
-    /** Every link is as it should be. */
+    /** Removes all faults from all links. */
     public void healAll() {
         cuts.clear();
         refusals.clear();
@@ -121,7 +121,7 @@
         List.copyOf(onHeal).forEach(Runnable::run);
     }
 
-    /** How often each kind took effect. */
+    /** Number of messages affected, by effect. */
     public Map<Effect, Integer> effects() {
         return effects;
     }
@@ -139,7 +139,7 @@
         return MIN_LATE_MICROS + random.nextInt(LATE_SPREAD_MICROS);
     }
 
-    /** A handler as this caller finds it. */
+    /** Wraps a handler with the faults on the link from this caller. */
     public Server.Handler wrapHandler(String from, String to, Server.Handler handler) {
         String link = link(from, to);
         return (request, reply) -> {
@@ -180,7 +180,7 @@
         });
     }
 
-    /** A caller as it reaches the ends with these addresses. */
+    /** Wraps a client with the faults on its links; {@code nameByAddress} maps addresses to endpoint names. */
     public HttpClient wrapClient(String from, HttpClient caller, Map<String, String> nameByAddress) {
         return (call, callback) -> {
             String to = nameByAddress.getOrDefault(call.address(), call.address());
--- a/src/test/java/org/weldcourse/simulation/PausableProcess.java
+++ b/src/test/java/org/weldcourse/simulation/PausableProcess.java
@@ -8,8 +8,8 @@
 import org.weldcourse.runtime.Timers;
 
 /**
- * What a process hears from outside: its timers, answers and requests. While it stands still they wait, and then come all
- * at once and in no order.
+ * Simulates a process that can be paused. Timers, responses and requests that arrive during a pause are deferred, and run
+ * all at once in random order when the process resumes.
  */
 final class PausableProcess implements Timers {
     private final FakeClock clock;
--- a/src/test/java/org/weldcourse/simulation/PeerProxy.java
+++ b/src/test/java/org/weldcourse/simulation/PeerProxy.java
@@ -19,8 +19,8 @@
 import java.util.Set;
 
 /**
- * Carries one controller's connections to another, byte by byte. While the way is cut, what comes waits, and is delivered
- * in order once it is whole again. Its port refuses connections while it is closed, as that of a process that has ended does.
+ * TCP proxy for the connections from one controller to another. While the link is cut, the proxy buffers the bytes, and
+ * delivers them in order when the link is healed. A closed proxy refuses connections like the port of an ended process.
  */
 final class PeerProxy {
     private static final String HOST = "127.0.0.1";
@@ -80,7 +80,7 @@
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel outbound) {
-                        // What peers tell goes one way; the way back carries nothing but the end.
+                        // Peers send data in one direction only; the other direction just propagates the close.
                         outbound.pipeline().addLast(new Relay(inbound));
                     }
                 })
@@ -95,7 +95,7 @@
                 });
     }
 
-    /** Passes on what comes on one channel to another. */
+    /** Forwards the data of one channel to another. */
     private final class Relay extends ChannelInboundHandlerAdapter {
         private final Channel to;
         private final Deque<Object> buffered = new ArrayDeque<>();
--- a/src/test/java/org/weldcourse/simulation/RandomJob.java
+++ b/src/test/java/org/weldcourse/simulation/RandomJob.java
@@ -7,17 +7,17 @@
 import java.util.Random;
 import org.weldcourse.http.Json;
 
-/** Jobs as users might submit them: single tasks, arrays, gangs and services, of all priorities. */
+/** Generates random jobs: single tasks, arrays, gangs and services of different priorities. */
 public final class RandomJob {
     private static final int SHAPES = 6;
-    /** Where tasks are small, so many of them take the place of one. */
-    private static final int SMALL_TASKS = 8;
+    /** The CPUs of a task are divided by this number for jobs of small tasks. */
+    private static final int SMALL_TASK_DIVISOR = 8;
 
     private RandomJob() {}
 
-    /** The body of a submission; {@code small}: with many small tasks in place of a few large ones. */
+    /** Returns the body of a submission; {@code small} selects many small tasks instead of a few large ones. */
     public static Map<String, Object> body(Random random, String id, List<String> teams, boolean small) {
-        double cpus = (1.0 + random.nextInt(2)) / (small ? SMALL_TASKS : 1);
+        double cpus = (1.0 + random.nextInt(2)) / (small ? SMALL_TASK_DIVISOR : 1);
         String team = teams.get(random.nextInt(teams.size()));
         Map<String, Object> body = jobBody(id, "crew", team, "cpus", cpus, "mem_gb", 0.1);
         switch (random.nextInt(SHAPES)) {
@@ -39,12 +39,12 @@
     }
 
     /**
-     * Draws how long the tasks of a job run and their images take, from {@code leastRunMicros} on, and notes it with the rules.
-     * Returns whether the job goes on until its user cancels it.
+     * Sets random durations for the runs and image pulls of a job's tasks. Returns whether the job is a service, which runs
+     * until its user cancels it.
      */
     public static boolean drawTimes(
             Random random,
-            ClusterInvariants rules,
+            ClusterInvariants invariants,
             Map<String, Object> body,
             int minRunMicros,
             int runSpreadMicros,
@@ -52,10 +52,10 @@
         String id = Json.text(body, "name_id");
         boolean endless = isEndless(body);
         if (endless) {
-            rules.runMicros.put(id, Long.MAX_VALUE);
+            invariants.runMicros.put(id, Long.MAX_VALUE);
         }
-        rules.runMicros.putIfAbsent(id, (long) minRunMicros + random.nextInt(runSpreadMicros));
-        rules.fetchMicros.put(id, (long) random.nextInt(maxFetchMicros));
+        invariants.runMicros.putIfAbsent(id, (long) minRunMicros + random.nextInt(runSpreadMicros));
+        invariants.fetchMicros.put(id, (long) random.nextInt(maxFetchMicros));
         return endless;
     }
 
--- a/src/test/java/org/weldcourse/simulation/RecordCapture.java
+++ b/src/test/java/org/weldcourse/simulation/RecordCapture.java
@@ -10,7 +10,7 @@
 import org.weldcourse.settings.Settings;
 
 /**
- * Writes what this version leaves in the state service in the middle of a day, as a fixture for the upgrade tests of later
+ * Writes the records that this version keeps in the store of a busy cluster, as a fixture for the upgrade tests of later
  * versions. To capture an earlier version, copy this file into a checkout of its commit and run there:
  *
  * <pre>
@@ -18,7 +18,7 @@
  * java -cp 'target/classes:target/test-classes:target/lib/*' org.weldcourse.simulation.RecordCapture records.json
  * </pre>
  *
- * Values may be 4 KiB with 8 changes a transaction, and 2 KiB with 4 changes later on.
+ * The store takes values of 4 KiB and transactions of 8 changes, and announces limits of 2 KiB and 4 changes.
  */
 public final class RecordCapture {
     private static final String SMALL_ARRAY = "req-000001";
@@ -90,7 +90,7 @@
         cluster.runMicros.put(id, Math.round(runSeconds * 1e6));
         int status = cluster.submit("n0", JobBodies.jobBody(id, changes)).status();
         if (status != 201) {
-            throw new IllegalStateException(id + " got " + status);
+            throw new IllegalStateException("submission of " + id + " failed with status " + status);
         }
     }
 }
--- a/src/test/java/org/weldcourse/simulation/SimulatedCluster.java
+++ b/src/test/java/org/weldcourse/simulation/SimulatedCluster.java
@@ -14,8 +14,8 @@
 import org.weldcourse.store.Store;
 
 /**
- * A small cluster on a fake clock: controllers of ours, everything else scripted. It watches the rules while
- * it runs and fails the test that breaks one.
+ * A small cluster on a fake clock: real controllers with a fake network, store, cloud and workers. It checks the
+ * {@link ClusterInvariants} while it runs and fails a test that violates one.
  */
 public final class SimulatedCluster {
     public static final long HEARTBEAT_MICROS = 1_000_000;
@@ -55,7 +55,7 @@
         this(nodes, 16, 32 * 1024, List.of(new Settings.Team("core", 0, 0, 0, 0)), objectives, null);
     }
 
-    /** A cluster whose controllers take team limits from there. */
+    /** Creates a cluster whose controllers take the team limits from {@code teamLimits}. */
     public SimulatedCluster(
             int nodes,
             int txnOps,
@@ -65,7 +65,7 @@
         this(nodes, txnOps, valueBytes, teams, List.of(), null, withTeamLimitSource(teamLimits));
     }
 
-    /** Operators' settings that differ from the defaults in where team limits come from. */
+    /** Returns the default operator settings with another source of team limits. */
     public static OperatorSettings withTeamLimitSource(OperatorSettings.TeamLimitSource teamLimits) {
         OperatorSettings defaults = OperatorSettings.DEFAULT;
         return new OperatorSettings(
@@ -76,7 +76,7 @@
                 teamLimits);
     }
 
-    /** A cluster whose state service may lower its limits to {@code next}; see {@link FakeStore#limit}. */
+    /** Creates a cluster whose store has announced the limits {@code next}; {@link FakeStore#limit} applies them. */
     public SimulatedCluster(
             int nodes,
             int txnOps,
@@ -109,7 +109,7 @@
         tick();
     }
 
-    /** A cluster that has run for long enough to have a leader. */
+    /** Creates a cluster and runs it until it has a leader. */
     public static SimulatedCluster settled(int nodes) {
         SimulatedCluster cluster = new SimulatedCluster(nodes);
         cluster.clock.passSeconds(2);
@@ -123,12 +123,12 @@
         clock.after(TICK_MICROS, this::tick);
     }
 
-    /** The node hears no other controller, and none hears it. */
+    /** Drops the heartbeats between this controller and all others. */
     public void cutFromPeers(String name) {
         controllers.cutFromPeers(name);
     }
 
-    /** The operators' settings of processes that start from here on. */
+    /** Sets the operator settings of controllers that start from now on. */
     public void operatorSettings(OperatorSettings next) {
         controllers.operatorSettings(next);
     }
@@ -137,7 +137,7 @@
         controllers.start(name);
     }
 
-    /** The process stands still while its clock runs on; whatever comes for it meanwhile waits. */
+    /** Pauses the process of a controller. The clock continues, and timers and messages wait until it resumes. */
     public void pauseNode(String name) {
         controllers.process(name).pause();
     }
@@ -146,7 +146,7 @@
         controllers.process(name).resume();
     }
 
-    /** The process is gone from one moment to the next: nobody hears of it again. */
+    /** Stops the controller abruptly; its address becomes unreachable. */
     public void killNode(String name) {
         controllers.kill(name);
     }
@@ -159,7 +159,7 @@
         network.heal(name, STORE);
     }
 
-    /** The state service refuses this node alone. */
+    /** Starts or stops refusing the requests of this controller, and of no other, at the store. */
     public void refuseStore(String name, boolean refused) {
         network.refuse(name, STORE, refused);
     }
@@ -168,12 +168,12 @@
         network.setLatency(STORE, micros);
     }
 
-    /** The machine reaches no controller, while direct commands reach it. */
+    /** Drops the machine's heartbeats to all controllers, but not the commands that they send to it. */
     public void cutHeartbeats(String machine) {
         controllers.addressByName().values().forEach(address -> network.cut(machine, address));
     }
 
-    /** Lifts what {@link #cutHeartbeats} and {@link #cutResponsesAndCommands} did. */
+    /** Reverts {@link #cutHeartbeats} and {@link #cutResponsesAndCommands}. */
     public void heal(String machine) {
         network.loseResponses(machine, false);
         controllers.addressByName().forEach((node, address) -> {
@@ -200,7 +200,7 @@
                         network.cut(machine, controllers.addressByName().get(name)));
     }
 
-    /** The machine's heartbeats arrive, but neither answers nor commands reach it. */
+    /** Drops heartbeat responses and commands to the machine; its heartbeats still arrive. */
     public void cutResponsesAndCommands(String machine) {
         network.loseResponses(machine, true);
         controllers.addressByName().keySet().forEach(node -> network.cut(node, FakeWorker.address(machine)));
@@ -237,7 +237,7 @@
         network.host(FakeWorker.address(rented.name()), worker);
     }
 
-    /** The machine is back from one moment to the next, empty, and counts its heartbeats from one again. */
+    /** Replaces the machine's worker with a new one that has no tasks and numbers its heartbeats from 1 again. */
     public void restartMachine(String name) {
         FakeWorker worker = workers.remove(name);
         worker.kill();
@@ -254,7 +254,7 @@
 
     // Users
 
-    /** What a user was answered. */
+    /** A response of the user API; status 0 stands for no response. */
     public record ApiResponse(int status, Map<String, Object> body, int retryAfterSeconds) {
         public String state() {
             return Json.text(body, "heat");
@@ -278,7 +278,7 @@
                 request(node, "POST", "/v1/jobs/" + id + "/withdraw", new byte[0]));
     }
 
-    /** Submits without waiting for the answer. */
+    /** Submits a job and passes the response to {@code then}, without waiting for it. */
     public void submitAsync(String node, Map<String, Object> job, Consumer<ApiResponse> then) {
         String id = Json.text(job, "name_id");
         String before = invariants.lastReportedState(id);
@@ -286,19 +286,19 @@
         sendAsync(node, "POST", "/v1/jobs", Json.bytes(job), answer -> then.accept(checkResponse(id, before, answer)));
     }
 
-    /** Asks for the cancellation of a job without waiting for the answer. */
+    /** Cancels a job without waiting for the response, which is checked when it arrives. */
     public void cancelAsync(String node, String id) {
         String before = invariants.lastReportedState(id);
         String path = "/v1/jobs/" + id + "/withdraw";
         sendAsync(node, "POST", path, new byte[0], answer -> checkResponse(id, before, answer));
     }
 
-    /** Sends something to a node without heeding the answer. */
+    /** Posts a body to a controller and ignores the response. */
     public void postAsync(String node, String path, Map<String, Object> body) {
         sendAsync(node, "POST", path, Json.bytes(body), answer -> {});
     }
 
-    /** A paused process gets it when it goes on. */
+    /** Sends a request to a controller; a paused one handles it when it resumes. */
     private void sendAsync(String node, String method, String path, byte[] body, Consumer<ApiResponse> then) {
         Controller controller = controllers.get(node);
         controllers.process(node).run(() -> handle(controller, method, path, body, then));
@@ -314,17 +314,17 @@
                                 new ApiResponse(status, Json.objectOrEmpty(Json.bytes(answer)), retryAfterSeconds)));
     }
 
-    /** How often a record of what may still be on machines was written. */
+    /** Number of writes to the records of outstanding tasks. */
     public int outstandingWrites() {
         return store.puts("outstanding/");
     }
 
-    /** A client of the state service that is no controller. */
+    /** Returns a store client that belongs to no controller. */
     public Store storeClient(String client) {
         return new Store(network.client(client), clock, STORE);
     }
 
-    /** Asks without waiting; what it hears is held against what was told before it asked. */
+    /** Polls a job without waiting; the response is checked against the last state reported before the request. */
     public void pollAsync(String node, String id) {
         String before = invariants.lastReportedState(id);
         handle(controllers.get(node), "GET", "/v1/jobs/" + id, new byte[0], answer -> {
@@ -333,17 +333,17 @@
         });
     }
 
-    /** How many questions that were asked without waiting have been answered. */
+    /** Number of responses to {@link #pollAsync}. */
     public int pollResponses() {
         return pollResponses;
     }
 
-    /** Whether the task is done; all tasks of a gang are with whichever of them is the first. */
+    /** Whether the task is done; see {@link ClusterInvariants#isTaskDone}. */
     public boolean isTaskDone(String id, int task) {
         return invariants.isTaskDone(id, task);
     }
 
-    /** A job that was accepted, and partly done, before this world began: its record holds the user's words. */
+    /** Adds a job that was accepted before the simulation started; see {@link ClusterInvariants#addExistingJob}. */
     public void addExistingJob(Map<String, Object> record, BitSet done) {
         invariants.addExistingJob(record, done);
     }
@@ -352,7 +352,7 @@
         return invariants.checkResponse(id, before, answer);
     }
 
-    /** Fails when a task of a cancelled job is still somewhere after the time that the rules allow. */
+    /** Fails when a task of a cancelled job still runs after the time allowed for cancellation. */
     public void checkCancelled() {
         invariants.checkCancelled();
     }
@@ -373,12 +373,12 @@
         return invariants.runningTasks();
     }
 
-    /** The rules that this world watches. */
+    /** The invariants that this cluster checks. */
     public ClusterInvariants invariants() {
         return invariants;
     }
 
-    /** Asks a node and lets time pass until it answers, for five seconds at most; status 0: no answer. */
+    /** Sends a request and advances the clock until its response, for five seconds at most; status 0 means no response. */
     public ApiResponse request(String node, String method, String path, byte[] body) {
         ApiResponse[] answer = new ApiResponse[1];
         handle(controllers.get(node), method, path, body, got -> answer[0] = got);
@@ -388,7 +388,7 @@
         return answer[0] == null ? new ApiResponse(0, Map.of(), 0) : answer[0];
     }
 
-    /** Lets time pass until the job has this state, and returns whether it came to that. */
+    /** Advances the clock until the job has this state or {@code seconds} are over, and returns whether it has it. */
     public boolean reaches(String node, String id, String state, double seconds) {
         for (int i = 0; i < seconds * 2; i++) {
             if (state.equals(poll(node, id).state())) {
--- a/src/test/java/org/weldcourse/simulation/SimulatedControllers.java
+++ b/src/test/java/org/weldcourse/simulation/SimulatedControllers.java
@@ -12,7 +12,7 @@
 import org.weldcourse.settings.OperatorSettings;
 import org.weldcourse.settings.Settings;
 
-/** The controllers of a simulated cluster: processes that start, pause and end, and what they tell one another. */
+/** The controllers of a simulated cluster, their processes and the status heartbeats between them. */
 final class SimulatedControllers {
     private final FakeClock clock;
     private final FakeNetwork network;
@@ -72,7 +72,7 @@
         network.remove(addressByName.get(name));
     }
 
-    /** The settings of processes that start from here on. */
+    /** Sets the operator settings of controllers that start from now on. */
     void operatorSettings(OperatorSettings next) {
         operatorSettings = next;
     }
@@ -91,12 +91,12 @@
         return new ArrayList<>(controllers.keySet());
     }
 
-    /** Where workers and users reach the nodes, whether they are up or not. */
+    /** The API addresses of all controllers, including stopped ones. */
     Map<String, String> addressByName() {
         return addressByName;
     }
 
-    /** The last in order of those that lead by their own account, or null. */
+    /** The last controller, in starting order, that considers itself the leader, or null. */
     String leader() {
         String leader = null;
         for (Map.Entry<String, Controller> entry : controllers.entrySet()) {
@@ -115,7 +115,7 @@
         cutFromPeers.remove(name);
     }
 
-    /** Controllers tell one another how they are, as far as they reach one another. */
+    /** Delivers the status of each controller to all others, except over cut links and from paused processes. */
     void exchangeStatus() {
         for (String sender : alive()) {
             for (String receiver : alive()) {
@@ -132,11 +132,14 @@
         }
     }
 
-    /** Fails when a controller refused a start that should never have been asked for. */
+    /**
+     * Fails when a controller refused a start because the bookings of its team exceed the team's limit: the scheduler must
+     * never book that much.
+     */
     void checkStarts() {
         controllers.forEach((name, controller) -> {
             if (controller.startCounts().violations() > 0) {
-                throw new AssertionError(name + " refused a start that should never have been asked for");
+                throw new AssertionError(name + " refused a start because its team's bookings exceed the limit");
             }
         });
     }
--- a/src/test/java/org/weldcourse/simulation/TaskBehavior.java
+++ b/src/test/java/org/weldcourse/simulation/TaskBehavior.java
@@ -1,24 +1,25 @@
 package org.weldcourse.simulation;
 
-/** What the workers' tasks are, and who must know when one starts or ends. */
+/** Decides how the tasks on fake workers behave, and is notified of their starts and ends. */
 public interface TaskBehavior {
+    /** Time from the start of the task to its exit: negative for an exit with an error, {@code Long.MAX_VALUE} for none. */
     long runMicros(String task);
 
-    /** How long the task waits for its image. */
+    /** Duration of the image pull. */
     long fetchMicros(String task);
 
-    /** Whether the task is one of several that start together. */
+    /** Whether the task belongs to a gang. */
     boolean isGangTask(String task);
 
     void taskStarted(FakeWorker worker, String task, int attempt);
 
-    /** The machine hangs from now on. */
+    /** Called when the machine freezes. */
     void machineFrozen(FakeWorker worker);
 
     void taskEnded(FakeWorker worker, String task);
 
     void taskCompleted(String task);
 
-    /** Whether nothing keeps the task from its end: a gang goes on only while all of it runs. */
+    /** Whether the task may complete now; a gang member may complete only while all members run. */
     boolean mayComplete(String task);
 }
--- a/src/test/java/org/weldcourse/simulation/package-info.java
+++ b/src/test/java/org/weldcourse/simulation/package-info.java
@@ -1,2 +1,2 @@
-/** The simulated cluster of the tests: clock, network, state service, cloud, workers and users. */
+/** Simulated cluster for tests: fake clock, network, store, cloud and workers, and checks of the cluster's invariants. */
 package org.weldcourse.simulation;
