--- a/src/test/java/org/weldcourse/app/LeaderFailoverTest.java
+++ b/src/test/java/org/weldcourse/app/LeaderFailoverTest.java
@@ -193,7 +193,8 @@
         assertEquals(4, cluster.runningTasks());
         cluster.workers.values().forEach(worker -> assertEquals(2, worker.fencingToken()));
         assertTrue(cluster.starts.values().stream().allMatch(count -> count == 1), cluster.starts.toString());
-        assertEquals(503, cluster.request(oldLeader, "GET", "/ready", new byte[0]).status());
+        assertEquals(
+                503, cluster.request(oldLeader, "GET", "/ready", new byte[0]).status());
     }
 
     /** Requests of the killed process still reach the store after the new process has started. */
--- a/src/test/java/org/weldcourse/app/OutstandingTasksTest.java
+++ b/src/test/java/org/weldcourse/app/OutstandingTasksTest.java
@@ -148,13 +148,13 @@
             world.clock.pass(10_000);
         }
         others.forEach(world::cutHeartbeats);
-        withFirst.forEach(world::heal);
+        withFirst.forEach(world::healMachineLinks);
         for (int i = 0; i < 10_000 && !saysToken(hangs, token + 1); i++) {
             world.clock.pass(500);
         }
         hangs.freeze(true);
         world.cloud.down(true);
-        others.forEach(world::heal);
+        others.forEach(world::healMachineLinks);
         world.clock.passSeconds(6);
         assertEquals(List.of(FIRST + "/1"), hangs.presentTasks(), "it is there still");
         assertTrue(world.runningTasks() <= 2, "and no more than one task besides");
--- a/src/test/java/org/weldcourse/app/RandomFaultsTest.java
+++ b/src/test/java/org/weldcourse/app/RandomFaultsTest.java
@@ -259,16 +259,16 @@
                 }
                 case MACHINE_DEAF -> {
                     world.cutResponsesAndCommands(machine);
-                    soon(1_000_000, 25_000_000, () -> world.heal(machine));
+                    soon(1_000_000, 25_000_000, () -> world.healMachineLinks(machine));
                 }
                 case MACHINE_MUTE -> {
                     world.cutHeartbeats(machine);
-                    soon(1_000_000, 25_000_000, () -> world.heal(machine));
+                    soon(1_000_000, 25_000_000, () -> world.healMachineLinks(machine));
                 }
                 case MACHINE_CUT -> {
                     world.cutHeartbeats(machine);
                     world.cutResponsesAndCommands(machine);
-                    soon(1_000_000, 25_000_000, () -> world.heal(machine));
+                    soon(1_000_000, 25_000_000, () -> world.healMachineLinks(machine));
                 }
                 case MACHINE_RESTARTED -> world.restartMachine(machine);
                 case MACHINE_NOTICE -> worker.announcePreemption(5_000_000 + random.nextInt(10_000_000));
--- a/src/test/java/org/weldcourse/app/RealTeamLimitsTest.java
+++ b/src/test/java/org/weldcourse/app/RealTeamLimitsTest.java
@@ -66,7 +66,7 @@
     void limitsHoldOverAFrozenAndAKilledProcess() throws Exception {
         List<String> options = MODE.isEmpty() ? List.of() : List.of("--operators", MODE);
         cluster = new LoopbackCluster(3, MACHINES, TEAMS, directory, options);
-        history = cluster.callOnEventLoop(() -> new QuotaHistoryChecker(cluster.state(), cluster.invariants()));
+        history = cluster.callOnEventLoop(() -> new QuotaHistoryChecker(cluster.store(), cluster.invariants()));
         cluster.callOnEventLoop(() -> {
             cluster.invariants().addStartListener((task, attempt) -> started(task));
             return null;
@@ -267,13 +267,13 @@
     private void awaitAllEnded() throws Exception {
         for (int i = 0; i < MOST_SECONDS_TO_END * 5; i++) {
             cluster.throwFailure();
-            if (cluster.callOnEventLoop(() -> cluster.state().keys("open/").isEmpty())) {
+            if (cluster.callOnEventLoop(() -> cluster.store().keys("open/").isEmpty())) {
                 return;
             }
             Thread.sleep(200);
         }
         throw new AssertionError(
-                "still open: " + cluster.callOnEventLoop(() -> cluster.state().keys("open/")));
+                "still open: " + cluster.callOnEventLoop(() -> cluster.store().keys("open/")));
     }
 
     private void checkEveryJobIsKnown() throws Exception {
@@ -285,13 +285,13 @@
                     "done", answer("GET", node, "/v1/jobs/" + id, new byte[0]).state(), id);
         }
         for (String id : accepted) {
-            assertNotNull(cluster.callOnEventLoop(() -> cluster.state().value("final/" + id)), id);
+            assertNotNull(cluster.callOnEventLoop(() -> cluster.store().value("final/" + id)), id);
         }
     }
 
     private void report(double submitSeconds, double seconds) throws Exception {
-        int writes = cluster.callOnEventLoop(() -> cluster.state().writes());
-        int requests = cluster.callOnEventLoop(() -> cluster.state().requests());
+        int writes = cluster.callOnEventLoop(() -> cluster.store().writes());
+        int requests = cluster.callOnEventLoop(() -> cluster.store().requests());
         System.out.printf(
                 "real processes, %s: %d jobs in %.1f s (%.1f a second accepted), %d refused and tried again; accepted"
                         + " after p50 %.1f p99 %.1f ms; first start after p50 %.2f p99 %.2f s; %d reservations,"
--- a/src/test/java/org/weldcourse/app/RepeatedFailoverTest.java
+++ b/src/test/java/org/weldcourse/app/RepeatedFailoverTest.java
@@ -167,7 +167,7 @@
         world.clock.passSeconds(20);
         inside.forEach(machine -> {
             if (world.workers.containsKey(machine)) {
-                world.heal(machine);
+                world.healMachineLinks(machine);
             }
         });
         world.healStoreLink(old);
--- a/src/test/java/org/weldcourse/app/ServicesTest.java
+++ b/src/test/java/org/weldcourse/app/ServicesTest.java
@@ -90,7 +90,7 @@
             case "lost session" -> {
                 world.cutHeartbeats(machine);
                 world.clock.passSeconds(10.4);
-                world.heal(machine);
+                world.healMachineLinks(machine);
             }
             case "leader ends" -> {
                 worker.freeze(true);
--- a/src/test/java/org/weldcourse/app/UnreachableMachinesTest.java
+++ b/src/test/java/org/weldcourse/app/UnreachableMachinesTest.java
@@ -77,7 +77,7 @@
         worker.freeze(true);
         world.clock.passSeconds(9.5);
         worker.freeze(false);
-        int refused = world.cloud.refused();
+        int refused = world.cloud.refusedRequests();
         world.clock.passSeconds(3);
         assertTrue(refused > 0);
         assertEquals(1, scenario.presentTasks(cancelled).size());
@@ -132,7 +132,7 @@
             FakeWorker worker = world.workers.get(machine);
             if (worker != null) {
                 worker.freeze(false);
-                world.heal(machine);
+                world.healMachineLinks(machine);
             }
         });
         scenario.assertAllJobsEnd(120);
@@ -197,7 +197,7 @@
             // From an earlier session too: the tasks were lost with it and run again.
             world.cutHeartbeats(worker.machine().name());
             world.clock.passSeconds(10.3);
-            world.heal(worker.machine().name());
+            world.healMachineLinks(worker.machine().name());
             world.clock.passSeconds(8);
         }
         world.clock.passSeconds(3);
--- a/src/test/java/org/weldcourse/simulation/FakeCloud.java
+++ b/src/test/java/org/weldcourse/simulation/FakeCloud.java
@@ -28,7 +28,7 @@
     private boolean down;
     private boolean malformed;
     public int capacity = 100;
-    private int refused;
+    private int refusedRequests;
     public final List<String> released = new ArrayList<>();
 
     public FakeCloud(
@@ -57,8 +57,8 @@
     }
 
     /** Number of requests refused while the cloud was down. */
-    public int refused() {
-        return refused;
+    public int refusedRequests() {
+        return refusedRequests;
     }
 
     /** Number of machines created so far, including released ones. */
@@ -92,7 +92,7 @@
     @Override
     public void handle(Server.Request request, Server.Reply reply) {
         if (down) {
-            refused++;
+            refusedRequests++;
             reply.send(503, Json.of("error", "trouble"));
             return;
         }
--- a/src/test/java/org/weldcourse/simulation/LoopbackCluster.java
+++ b/src/test/java/org/weldcourse/simulation/LoopbackCluster.java
@@ -38,10 +38,10 @@
     private static final int CONNECTIONS = 500;
 
     private final EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
-    private final FakeClock time = new FakeClock();
+    private final FakeClock clock = new FakeClock();
     private final List<Settings.Team> teams;
     private final ClusterInvariants invariants;
-    private final FakeStore state;
+    private final FakeStore store;
     private final FakeCloud cloud;
     private final Map<String, FakeWorker> workers = new HashMap<>();
     private final Map<String, WorkerAddress> addresses = new HashMap<>();
@@ -79,10 +79,10 @@
         this.teams = teams;
         this.directory = directory;
         this.options = options;
-        faults = new NetworkFaults(time);
-        invariants = new ClusterInvariants(time, teams, CANCEL_MICROS);
-        state = new FakeStore(time, TXN_OPS, VALUE_BYTES);
-        cloud = new FakeCloud(time, BOOT_MICROS, this::machineUp, this::machineGone);
+        faults = new NetworkFaults(clock);
+        invariants = new ClusterInvariants(clock, teams, CANCEL_MICROS);
+        store = new FakeStore(clock, TXN_OPS, VALUE_BYTES);
+        cloud = new FakeCloud(clock, BOOT_MICROS, this::machineUp, this::machineGone);
         cloud.capacity = machines;
         for (int i = 0; i < machines + machines / 2; i++) {
             WorkerAddress[] worker = new WorkerAddress[1];
@@ -94,7 +94,7 @@
             String name = "n" + i;
             apiPorts.put(name, DeployedProgram.freePort());
             peerPorts.put(name, DeployedProgram.freePort());
-            statePorts.put(name, serve(faults.wrapHandler(name, NetworkFaults.STATE, state)));
+            statePorts.put(name, serve(faults.wrapHandler(name, NetworkFaults.STORE, store)));
             cloudPorts.put(name, serve(faults.wrapHandler(name, NetworkFaults.CLOUD, cloud)));
         }
         for (String from : apiPorts.keySet()) {
@@ -123,7 +123,7 @@
         long nowNanos = System.nanoTime();
         long elapsedMicros = (nowNanos - lastTickNanos) / 1_000;
         lastTickNanos += elapsedMicros * 1_000;
-        recordFailures(() -> time.pass(elapsedMicros));
+        recordFailures(() -> clock.pass(elapsedMicros));
         recordFailures(invariants::checkCancelled);
     }
 
@@ -152,7 +152,7 @@
     }
 
     /** Runs work that is on the event loop already, and records its failure for {@link #throwFailure}. */
-    public void recordFailure(Runnable work) {
+    public void runRecordingFailure(Runnable work) {
         recordFailures(work);
     }
 
@@ -169,7 +169,7 @@
         Map<String, String> addressByName = new LinkedHashMap<>();
         apiPorts.forEach((name, port) -> addressByName.put(name, HOST + ":" + port));
         FakeWorker worker = new FakeWorker(
-                time,
+                clock,
                 faults.wrapClient(rented.name(), new NettyHttpClient(loop, () -> 1), nameByAddress()),
                 new ArrayList<>(addressByName.values()),
                 addressByName,
@@ -217,8 +217,8 @@
         return cloud;
     }
 
-    public FakeClock time() {
-        return time;
+    public FakeClock clock() {
+        return clock;
     }
 
     /** An HTTP client on the event loop of the fakes. */
@@ -296,7 +296,7 @@
     /** The leader according to the record in the store, or null. */
     public String leader() throws Exception {
         return callOnEventLoop(() -> {
-            Map<String, Object> leader = state.value("leader");
+            Map<String, Object> leader = store.value("leader");
             return leader == null ? null : (String) leader.get("name");
         });
     }
@@ -344,8 +344,8 @@
         return Files.writeString(directory.resolve(name + ".toml"), text);
     }
 
-    public FakeStore state() {
-        return state;
+    public FakeStore store() {
+        return store;
     }
 
     public ClusterInvariants invariants() {
--- a/src/test/java/org/weldcourse/simulation/NetworkFaults.java
+++ b/src/test/java/org/weldcourse/simulation/NetworkFaults.java
@@ -17,7 +17,7 @@
  * execution and duplicates. Counts each fault that takes effect. Not thread-safe.
  */
 public final class NetworkFaults {
-    public static final String STATE = "state";
+    public static final String STORE = "state";
     public static final String CLOUD = "cloud";
     /** Stands for any endpoint, where a message does not tell which one sends or receives it. */
     public static final String ANY_ENDPOINT = "anybody";
--- a/src/test/java/org/weldcourse/simulation/SimulatedCluster.java
+++ b/src/test/java/org/weldcourse/simulation/SimulatedCluster.java
@@ -174,7 +174,7 @@
     }
 
     /** Reverts {@link #cutHeartbeats} and {@link #cutResponsesAndCommands}. */
-    public void heal(String machine) {
+    public void healMachineLinks(String machine) {
         network.loseResponses(machine, false);
         controllers.addressByName().forEach((node, address) -> {
             network.heal(machine, address);
--- a/src/test/java/org/weldcourse/soak/FaultInjector.java
+++ b/src/test/java/org/weldcourse/soak/FaultInjector.java
@@ -148,7 +148,7 @@
                         cuts.add(new String[] {other, node});
                     }
                     case LEADER_CUT_FROM_STATE_AND_PEERS -> {
-                        cuts.add(new String[] {leader, NetworkFaults.STATE});
+                        cuts.add(new String[] {leader, NetworkFaults.STORE});
                         cuts.add(new String[] {leader, other});
                         cuts.add(new String[] {other, leader});
                     }
@@ -166,20 +166,20 @@
         return cluster.callOnEventLoop(() -> {
             switch (event.fault()) {
                 case STATE_CUT_ONE_WAY -> {
-                    network.cut(NetworkFaults.STATE, node);
-                    scheduleRecoveryOnLoop(endMillis, () -> network.heal(NetworkFaults.STATE, node));
+                    network.cut(NetworkFaults.STORE, node);
+                    scheduleRecoveryOnLoop(endMillis, () -> network.heal(NetworkFaults.STORE, node));
                 }
                 case STATE_CUT -> {
-                    network.cut(node, NetworkFaults.STATE);
-                    scheduleRecoveryOnLoop(endMillis, () -> network.heal(node, NetworkFaults.STATE));
+                    network.cut(node, NetworkFaults.STORE);
+                    scheduleRecoveryOnLoop(endMillis, () -> network.heal(node, NetworkFaults.STORE));
                 }
                 case STATE_REFUSES_ONE -> {
-                    network.refuse(node, NetworkFaults.STATE, true);
-                    scheduleRecoveryOnLoop(endMillis, () -> network.refuse(node, NetworkFaults.STATE, false));
+                    network.refuse(node, NetworkFaults.STORE, true);
+                    scheduleRecoveryOnLoop(endMillis, () -> network.refuse(node, NetworkFaults.STORE, false));
                 }
                 case STATE_OUT -> {
-                    cluster.state().down(true);
-                    scheduleRecoveryOnLoop(endMillis, () -> cluster.state().down(false));
+                    cluster.store().down(true);
+                    scheduleRecoveryOnLoop(endMillis, () -> cluster.store().down(false));
                 }
                 case CLOUD_OUT -> {
                     cluster.cloud().down(true);
@@ -198,16 +198,16 @@
         for (String node : cluster.names()) {
             switch (event.fault()) {
                 case STATE_SLOW -> {
-                    network.setLatency(node, NetworkFaults.STATE, delayMicros);
-                    scheduleRecoveryOnLoop(endMillis, () -> network.setLatency(node, NetworkFaults.STATE, 0));
+                    network.setLatency(node, NetworkFaults.STORE, delayMicros);
+                    scheduleRecoveryOnLoop(endMillis, () -> network.setLatency(node, NetworkFaults.STORE, 0));
                 }
                 case STATE_LOSES_ANSWERS -> {
-                    network.loseResponses(node, NetworkFaults.STATE, STORE_FAULT_PROBABILITY);
-                    scheduleRecoveryOnLoop(endMillis, () -> network.loseResponses(node, NetworkFaults.STATE, 0));
+                    network.loseResponses(node, NetworkFaults.STORE, STORE_FAULT_PROBABILITY);
+                    scheduleRecoveryOnLoop(endMillis, () -> network.loseResponses(node, NetworkFaults.STORE, 0));
                 }
                 case STATE_WRITES_LATE -> {
-                    network.executeLate(node, NetworkFaults.STATE, STORE_FAULT_PROBABILITY);
-                    scheduleRecoveryOnLoop(endMillis, () -> network.executeLate(node, NetworkFaults.STATE, 0));
+                    network.executeLate(node, NetworkFaults.STORE, STORE_FAULT_PROBABILITY);
+                    scheduleRecoveryOnLoop(endMillis, () -> network.executeLate(node, NetworkFaults.STORE, 0));
                 }
                 default -> throw new IllegalStateException(event.fault().name());
             }
--- a/src/test/java/org/weldcourse/soak/SimulatedUsers.java
+++ b/src/test/java/org/weldcourse/soak/SimulatedUsers.java
@@ -116,7 +116,7 @@
         if (!submitting) {
             unfinished().forEach(id -> poll(randomNode(), id));
         }
-        cluster.time().after(submitting ? TICK_MICROS : 10 * TICK_MICROS, this::tick);
+        cluster.clock().after(submitting ? TICK_MICROS : 10 * TICK_MICROS, this::tick);
     }
 
     private String randomNode() {
@@ -143,12 +143,12 @@
                 SUBMIT_TIMEOUT_MICROS);
         caller.call(
                 call,
-                answer -> cluster.recordFailure(() -> {
+                answer -> cluster.runRecordingFailure(() -> {
                     handleAnswer(id, knownState, answer);
                     if (answer.ok() || answer.status() == CREATED) {
                         accepted.add(id);
                     } else if (attemptsLeft > 1 && submitting) {
-                        cluster.time().after(1_000_000, () -> submit(id, attemptsLeft - 1));
+                        cluster.clock().after(1_000_000, () -> submit(id, attemptsLeft - 1));
                     }
                 }));
     }
@@ -162,7 +162,7 @@
         send(randomNode(), "POST", "/v1/jobs/" + id + "/withdraw", SUBMIT_TIMEOUT_MICROS, answer -> {
             handleAnswer(id, knownState, answer);
             if (!answer.ok()) {
-                cluster.time().after(1_000_000, () -> cancel(id));
+                cluster.clock().after(1_000_000, () -> cancel(id));
             }
         });
     }
@@ -174,7 +174,7 @@
 
     private void send(String node, String method, String path, long timeoutMicros, HttpClient.Callback done) {
         HttpClient.Call call = new HttpClient.Call(cluster.api(node), method, path, null, timeoutMicros);
-        caller.call(call, answer -> cluster.recordFailure(() -> done.accept(answer)));
+        caller.call(call, answer -> cluster.runRecordingFailure(() -> done.accept(answer)));
     }
 
     private void handleAnswer(String id, String knownState, HttpClient.Response answer) {
@@ -183,7 +183,7 @@
         }
         answers++;
         if (answer.ok() || answer.status() == CREATED) {
-            lastAnswerMicros.put(id, cluster.time().nowMicros());
+            lastAnswerMicros.put(id, cluster.clock().nowMicros());
         }
         ApiResponse jobAnswer = new ApiResponse(answer.status(), answer.body(), 0);
         invariants.checkResponse(id, knownState, jobAnswer);
--- a/src/test/java/org/weldcourse/soak/SoakRun.java
+++ b/src/test/java/org/weldcourse/soak/SoakRun.java
@@ -94,7 +94,8 @@
             if (settings.machines() >= LARGE_FLEET_MACHINES) {
                 startLargeFleet();
             }
-            cluster.invariants().addStartListener((task, attempt) -> logEvent("start of " + task + " attempt " + attempt));
+            cluster.invariants()
+                    .addStartListener((task, attempt) -> logEvent("start of " + task + " attempt " + attempt));
             return null;
         });
         for (String name : cluster.names()) {
@@ -170,7 +171,7 @@
         Thread.sleep(WARM_UP_MILLIS);
         long submissionsEndMicros = cluster.callOnEventLoop(() -> {
             users.stopSubmitting();
-            return cluster.time().nowMicros();
+            return cluster.clock().nowMicros();
         });
         long lastProgressMillis = System.currentTimeMillis();
         int previousProgress = -1;
@@ -184,13 +185,15 @@
                 checkJobsAreAnswered(unfinished, submissionsEndMicros);
                 return null;
             });
-            int progress = cluster.callOnEventLoop(() -> cluster.invariants().starts.size() * 1_000 - unfinished.size());
+            int progress =
+                    cluster.callOnEventLoop(() -> cluster.invariants().starts.size() * 1_000 - unfinished.size());
             if (progress != previousProgress) {
                 previousProgress = progress;
                 lastProgressMillis = System.currentTimeMillis();
             } else if (System.currentTimeMillis() - lastProgressMillis > PROGRESS_TIMEOUT_MILLIS) {
-                throw new AssertionError("no new task starts and no job ends; unfinished jobs: " + unfinished
-                        + "; records: " + cluster.callOnEventLoop(() -> cluster.state().keys("")));
+                throw new AssertionError(
+                        "no new task starts and no job ends; unfinished jobs: " + unfinished + "; records: "
+                                + cluster.callOnEventLoop(() -> cluster.store().keys("")));
             }
             Thread.sleep(300);
         }
@@ -219,7 +222,7 @@
     }
 
     private void checkJobsAreAnswered(List<String> ids, long submissionsEndMicros) {
-        long nowMicros = cluster.time().nowMicros();
+        long nowMicros = cluster.clock().nowMicros();
         for (String id : ids) {
             if (nowMicros - Math.max(submissionsEndMicros, users.lastAnswerMicros(id)) > ANSWER_TIMEOUT_MICROS) {
                 throw new AssertionError("no request about job " + id + " is answered");
@@ -231,10 +234,10 @@
     private void awaitOutstandingRecordsDeleted() throws Exception {
         long deadlineMillis = System.currentTimeMillis() + PROGRESS_TIMEOUT_MILLIS;
         while (!cluster.callOnEventLoop(
-                () -> cluster.state().keys("outstanding/").isEmpty())) {
+                () -> cluster.store().keys("outstanding/").isEmpty())) {
             if (System.currentTimeMillis() > deadlineMillis) {
                 throw new AssertionError("records of outstanding jobs are not deleted: "
-                        + cluster.callOnEventLoop(() -> cluster.state().keys("outstanding/")));
+                        + cluster.callOnEventLoop(() -> cluster.store().keys("outstanding/")));
             }
             Thread.sleep(300);
         }
