--- a/src/test/java/org/weldcourse/app/OutstandingTasksTest.java
+++ b/src/test/java/org/weldcourse/app/OutstandingTasksTest.java
@@ -155,13 +155,13 @@
             cluster.clock.pass(10_000);
         }
         otherMachines.forEach(cluster::cutHeartbeats);
-        machinesOfFirst.forEach(cluster::heal);
+        machinesOfFirst.forEach(cluster::healMachineLinks);
         for (int i = 0; i < 10_000 && !hasReportedToken(hungWorker, token + 1); i++) {
             cluster.clock.pass(500);
         }
         hungWorker.freeze(true);
         cluster.cloud.down(true);
-        otherMachines.forEach(cluster::heal);
+        otherMachines.forEach(cluster::healMachineLinks);
         cluster.clock.passSeconds(6);
         assertEquals(List.of(FIRST + "/1"), hungWorker.presentTasks(), "the task is still present");
         assertTrue(cluster.runningTasks() <= 2, "at most one task runs beside it");
--- a/src/test/java/org/weldcourse/app/RandomFaultsTest.java
+++ b/src/test/java/org/weldcourse/app/RandomFaultsTest.java
@@ -260,16 +260,16 @@
                 }
                 case MACHINE_CANNOT_RECEIVE -> {
                     cluster.cutResponsesAndCommands(machine);
-                    schedule(1_000_000, 25_000_000, () -> cluster.heal(machine));
+                    schedule(1_000_000, 25_000_000, () -> cluster.healMachineLinks(machine));
                 }
                 case MACHINE_CANNOT_SEND -> {
                     cluster.cutHeartbeats(machine);
-                    schedule(1_000_000, 25_000_000, () -> cluster.heal(machine));
+                    schedule(1_000_000, 25_000_000, () -> cluster.healMachineLinks(machine));
                 }
                 case MACHINE_UNREACHABLE -> {
                     cluster.cutHeartbeats(machine);
                     cluster.cutResponsesAndCommands(machine);
-                    schedule(1_000_000, 25_000_000, () -> cluster.heal(machine));
+                    schedule(1_000_000, 25_000_000, () -> cluster.healMachineLinks(machine));
                 }
                 case MACHINE_RESTARTED -> cluster.restartMachine(machine);
                 case MACHINE_PREEMPTION_NOTICE -> worker.announcePreemption(5_000_000 + random.nextInt(10_000_000));
--- a/src/test/java/org/weldcourse/app/RepeatedFailoverTest.java
+++ b/src/test/java/org/weldcourse/app/RepeatedFailoverTest.java
@@ -176,7 +176,7 @@
         cluster.clock.passSeconds(20);
         isolatedMachines.forEach(machine -> {
             if (cluster.workers.containsKey(machine)) {
-                cluster.heal(machine);
+                cluster.healMachineLinks(machine);
             }
         });
         cluster.healStoreLink(isolatedLeader);
--- a/src/test/java/org/weldcourse/app/ServicesTest.java
+++ b/src/test/java/org/weldcourse/app/ServicesTest.java
@@ -90,7 +90,7 @@
             case "lost session" -> {
                 cluster.cutHeartbeats(machine);
                 cluster.clock.passSeconds(10.4);
-                cluster.heal(machine);
+                cluster.healMachineLinks(machine);
             }
             case "leader killed" -> {
                 worker.freeze(true);
--- a/src/test/java/org/weldcourse/app/UnreachableMachinesTest.java
+++ b/src/test/java/org/weldcourse/app/UnreachableMachinesTest.java
@@ -81,7 +81,7 @@
         worker.freeze(true);
         cluster.clock.passSeconds(9.5);
         worker.freeze(false);
-        int refused = cluster.cloud.refused();
+        int refused = cluster.cloud.refusedRequests();
         cluster.clock.passSeconds(3);
         assertTrue(refused > 0);
         assertEquals(1, scenario.presentTasks(cancelled).size());
@@ -137,7 +137,7 @@
             FakeWorker worker = cluster.workers.get(machine);
             if (worker != null) {
                 worker.freeze(false);
-                cluster.heal(machine);
+                cluster.healMachineLinks(machine);
             }
         });
         scenario.assertAllJobsEnd(120);
@@ -207,7 +207,7 @@
             // Adds heartbeats of a session that has expired: its tasks were lost and run again.
             cluster.cutHeartbeats(worker.machine().name());
             cluster.clock.passSeconds(10.3);
-            cluster.heal(worker.machine().name());
+            cluster.healMachineLinks(worker.machine().name());
             cluster.clock.passSeconds(8);
         }
         cluster.clock.passSeconds(3);
--- a/src/test/java/org/weldcourse/simulation/ClusterInvariants.java
+++ b/src/test/java/org/weldcourse/simulation/ClusterInvariants.java
@@ -14,12 +14,12 @@
 import org.weldcourse.simulation.SimulatedCluster.ApiResponse;
 
 /**
- * The rules of the protocol, watched from outside: what tasks do on machines, and what users are told. A task is on its
- * machine from the moment it has its image until it exits, is killed or the machine is gone, also while the machine hangs or
- * can't be reached.
+ * Checks the protocol's invariants on the tasks that run on machines and on the responses that users receive. A task counts
+ * as running on its machine from the end of its image pull until it exits, is killed or its machine is released, also while
+ * the machine is frozen or unreachable.
  */
 public final class ClusterInvariants implements TaskBehavior {
-    /** Within this time the tasks of a running gang notice that one of them is gone or its machine hangs. */
+    /** Time after which the members of a running gang detect that a member has ended or that its machine is frozen. */
     private static final long GANG_PEER_MICROS = 4_000_000;
 
     private static final double ROUNDING = 1e-9;
@@ -27,43 +27,46 @@
     public final Map<String, Integer> starts = new HashMap<>();
     public final Map<String, Map<String, Object>> jobs = new HashMap<>();
     public final Map<String, Long> runMicros = new HashMap<>();
-    private final Map<String, FakeWorker> running = new HashMap<>();
+    private final Map<String, FakeWorker> workerByRunningTask = new HashMap<>();
     private final Map<String, Long> cancelledMicros = new HashMap<>();
-    private final Set<String> completed = new HashSet<>();
-    /** The latest that any node told of a job. */
-    private final Map<String, String> told = new HashMap<>();
+    private final Set<String> completedTasks = new HashSet<>();
+    /** The latest state of each job that any controller reported: open, done or cancelled. */
+    private final Map<String, String> reportedStates = new HashMap<>();
 
-    /** How long the image of a job's tasks takes, where it is not there at once. */
+    /** Duration of the image pull of a job's tasks; 0 where a job has no entry. */
     public final Map<String, Long> fetchMicros = new HashMap<>();
 
-    private final FakeClock time;
+    private final FakeClock clock;
     private final List<Settings.Team> teams;
     private final long cancelMicros;
     private BiConsumer<String, Integer> setStartListener = (task, attempt) -> {};
     private int startsAfterCancellation;
 
-    public ClusterInvariants(FakeClock time, List<Settings.Team> teams, long cancelMicros) {
-        this.time = time;
+    public ClusterInvariants(FakeClock clock, List<Settings.Team> teams, long cancelMicros) {
+        this.clock = clock;
         this.teams = teams;
         this.cancelMicros = cancelMicros;
     }
 
-    /** Told of each task that starts, after the rules were checked. */
+    /** Replaces the listeners that are called with the task and attempt of each start, after the checks have passed. */
     public void setStartListener(BiConsumer<String, Integer> listener) {
         setStartListener = listener;
     }
 
-    /** Told as well, after the listener that was there before. */
+    /** Adds a listener that is called after the existing ones; see {@link #setStartListener}. */
     public void addStartListener(BiConsumer<String, Integer> listener) {
         setStartListener = setStartListener.andThen(listener);
     }
 
-    /** The latest that any node told of the job, or null. */
+    /** The latest state of the job that any controller reported (open, done or cancelled), or null. */
     public String lastReportedState(String id) {
-        return told.get(id);
+        return reportedStates.get(id);
     }
 
-    /** Fails when an answer is older than what was told before its question, or is not true. */
+    /**
+     * Fails when a response is wrong or older than {@code before}, the last state that was reported before the request was
+     * sent.
+     */
     public ApiResponse checkResponse(String id, String before, ApiResponse answer) {
         if (answer.status() != 200 && answer.status() != 201) {
             if (before != null && (answer.status() == 404 || answer.status() == 400 || answer.status() == 422)) {
@@ -74,7 +77,7 @@
         if (!jobs.containsKey(id)) {
             throw new AssertionError("invented: " + id);
         }
-        boolean over = "done".equals(answer.state()) || "cancelled".equals(answer.state());
+        boolean isFinal = "done".equals(answer.state()) || "cancelled".equals(answer.state());
         if (before != null && !before.equals("open") && !before.equals(answer.state())) {
             throw new AssertionError("went_back: " + id + " from " + before + ": " + answer);
         }
@@ -82,10 +85,10 @@
             checkDone(id);
         }
         if ("cancelled".equals(answer.state())) {
-            cancelledMicros.putIfAbsent(id, time.nowMicros());
+            cancelledMicros.putIfAbsent(id, clock.nowMicros());
         }
-        if (over || !told.containsKey(id)) {
-            told.put(id, over ? answer.state() : "open");
+        if (isFinal || !reportedStates.containsKey(id)) {
+            reportedStates.put(id, isFinal ? answer.state() : "open");
         }
         return answer;
     }
@@ -98,26 +101,29 @@
         }
     }
 
-    /** Whether the task is done; all tasks of a gang are with whichever of them is the first. */
+    /** Whether the task is done. All tasks of a gang are done as soon as one of them is. */
     public boolean isTaskDone(String id, int task) {
         return isGang(id)
-                ? completed.stream().anyMatch(done -> done.startsWith(id + "/"))
-                : completed.contains(id + "/" + task);
+                ? completedTasks.stream().anyMatch(done -> done.startsWith(id + "/"))
+                : completedTasks.contains(id + "/" + task);
     }
 
-    /** A job that was accepted, and partly done, before this world began: its record holds the user's words. */
+    /**
+     * Adds a job that was accepted before the simulation started; {@code done} are the tasks that were done by then. Its
+     * record holds the fields of the submission.
+     */
     public void addExistingJob(Map<String, Object> record, BitSet done) {
         String id = Json.text(record, "name_id");
         jobs.put(id, record);
-        told.put(id, "open");
-        done.stream().forEach(task -> completed.add(id + "/" + task));
+        reportedStates.put(id, "open");
+        done.stream().forEach(task -> completedTasks.add(id + "/" + task));
     }
 
-    /** Fails when a task of a cancelled job is still somewhere after the time that the rules allow. */
+    /** Fails when a task of a cancelled job still runs after the time allowed for cancellation. */
     public void checkCancelled() {
-        cancelledMicros.forEach((id, at) -> {
-            for (String task : running.keySet()) {
-                if (task.startsWith(id + "/") && time.nowMicros() > at + cancelMicros) {
+        cancelledMicros.forEach((id, cancelledAtMicros) -> {
+            for (String task : workerByRunningTask.keySet()) {
+                if (task.startsWith(id + "/") && clock.nowMicros() > cancelledAtMicros + cancelMicros) {
                     throw new AssertionError("ran_cancelled: " + task);
                 }
             }
@@ -125,7 +131,7 @@
     }
 
     public FakeWorker workerOf(String task) {
-        return running.get(task);
+        return workerByRunningTask.get(task);
     }
 
     public int startsAfterCancellation() {
@@ -133,11 +139,11 @@
     }
 
     public boolean hasCompleted(String task) {
-        return completed.contains(task);
+        return completedTasks.contains(task);
     }
 
     public int runningTasks() {
-        return running.size();
+        return workerByRunningTask.size();
     }
 
     @Override
@@ -152,7 +158,7 @@
     }
 
     @Override
-    public boolean startsWithGang(String task) {
+    public boolean isGangTask(String task) {
         return jobs.containsKey(jobOf(task)) && isGang(jobOf(task));
     }
 
@@ -161,22 +167,22 @@
     }
 
     @Override
-    public void started(FakeWorker worker, String task, int attempt) {
+    public void taskStarted(FakeWorker worker, String task, int attempt) {
         String id = jobOf(task);
-        if (running.containsKey(task)) {
+        if (workerByRunningTask.containsKey(task)) {
             throw new AssertionError("ran_twice: " + task);
         }
         Long cancelled = cancelledMicros.get(id);
-        if (cancelled != null && time.nowMicros() > cancelled + cancelMicros) {
+        if (cancelled != null && clock.nowMicros() > cancelled + cancelMicros) {
             throw new AssertionError("ran_cancelled: " + task);
         }
         startsAfterCancellation += cancelled == null ? 0 : 1;
         Map<String, Object> job = jobs.get(id);
         if (job == null) {
-            throw new AssertionError("a task of no job: " + task);
+            throw new AssertionError("task of an unknown job: " + task);
         }
-        checkPlace(job, id, worker);
-        running.put(task, worker);
+        checkPlacement(job, id, worker);
+        workerByRunningTask.put(task, worker);
         starts.merge(task, 1, Integer::sum);
         checkQuota();
         setStartListener.accept(task, attempt);
@@ -186,14 +192,14 @@
     }
 
     private void startGangIfComplete(String id, int attempt) {
-        List<String> mates = tasksOf(id);
-        for (String mate : mates) {
-            FakeWorker worker = running.get(mate);
-            if (worker == null || worker.tasks().attempt(mate) != attempt) {
+        List<String> members = tasksOf(id);
+        for (String member : members) {
+            FakeWorker worker = workerByRunningTask.get(member);
+            if (worker == null || worker.tasks().attempt(member) != attempt) {
                 return;
             }
         }
-        mates.forEach(mate -> running.get(mate).tasks().gangStarts(mate));
+        members.forEach(member -> workerByRunningTask.get(member).tasks().startWithGang(member));
     }
 
     private List<String> tasksOf(String id) {
@@ -205,56 +211,56 @@
     }
 
     @Override
-    public void hung(FakeWorker worker) {
+    public void machineFrozen(FakeWorker worker) {
         for (String task : worker.presentTasks()) {
-            if (startsWithGang(task)) {
+            if (isGangTask(task)) {
                 int attempt = worker.tasks().attempt(task);
-                time.after(GANG_PEER_MICROS, () -> {
+                clock.after(GANG_PEER_MICROS, () -> {
                     if (worker.isFrozenFor(GANG_PEER_MICROS)) {
-                        gangMembersGiveUp(jobOf(task), attempt);
+                        failGangMembers(jobOf(task), attempt);
                     }
                 });
             }
         }
     }
 
-    /** The tasks of the gang that still run give up. */
-    private void gangMembersGiveUp(String id, int attempt) {
+    /** Ends the members of the gang that still run this attempt. */
+    private void failGangMembers(String id, int attempt) {
         if (isTaskDone(id, 0)) {
             return;
         }
-        for (String mate : tasksOf(id)) {
-            FakeWorker worker = running.get(mate);
+        for (String member : tasksOf(id)) {
+            FakeWorker worker = workerByRunningTask.get(member);
             if (worker != null) {
-                worker.tasks().gangMemberLost(mate, attempt);
+                worker.tasks().gangMemberLost(member, attempt);
             }
         }
     }
 
-    private void checkPlace(Map<String, Object> job, String id, FakeWorker worker) {
-        FakeCloud.RentedMachine at = worker.machine();
-        boolean wrong = job.get("rigs") != null && !Json.list(job.get("rigs")).contains(at.type())
-                || job.get("yard") != null && !job.get("yard").equals(at.zone())
-                || !Json.flag(job, "loaners") && at.spot();
+    private void checkPlacement(Map<String, Object> job, String id, FakeWorker worker) {
+        FakeCloud.RentedMachine machine = worker.machine();
+        boolean wrong = job.get("rigs") != null && !Json.list(job.get("rigs")).contains(machine.type())
+                || job.get("yard") != null && !job.get("yard").equals(machine.zone())
+                || !Json.flag(job, "loaners") && machine.spot();
         Set<String> zones = new HashSet<>();
         int sameZone = 1;
-        for (Map.Entry<String, FakeWorker> entry : running.entrySet()) {
+        for (Map.Entry<String, FakeWorker> entry : workerByRunningTask.entrySet()) {
             if (entry.getKey().startsWith(id + "/")) {
                 String zone = entry.getValue().machine().zone();
                 zones.add(zone);
-                sameZone += zone.equals(at.zone()) ? 1 : 0;
+                sameZone += zone.equals(machine.zone()) ? 1 : 0;
             }
         }
-        zones.add(at.zone());
+        zones.add(machine.zone());
         long tasks = Json.integer(job, "beads", 0);
         wrong |= Json.flag(job, "together") && zones.size() > 1;
         wrong |= Json.flag(job, "apart") && sameZone > (tasks + 1) / 2;
         if (wrong) {
-            throw new AssertionError("wrong_place: " + id + " on " + at);
+            throw new AssertionError("wrong_place: " + id + " on " + machine);
         }
     }
 
-    /** All teams, since what any of them has on machines may have become too much by now. */
+    /** Checks the limits of all teams, not only that of the team whose task has just started. */
     private void checkQuota() {
         for (Settings.Team team : teams) {
             checkQuota(team);
@@ -264,7 +270,7 @@
     private void checkQuota(Settings.Team team) {
         double cpus = 0;
         double gpus = 0;
-        for (String task : running.keySet()) {
+        for (String task : workerByRunningTask.keySet()) {
             Map<String, Object> job = jobs.get(jobOf(task));
             if (team.name().equals(Json.text(job, "crew"))) {
                 cpus += Json.decimal(job, "cpus", 0);
@@ -273,34 +279,34 @@
         }
         if (cpus > team.cpusMax() + ROUNDING || gpus > team.gpusMax() + ROUNDING) {
             throw new AssertionError("quota: " + team.name() + " uses " + cpus + " CPUs and " + gpus + " GPUs with "
-                    + new TreeSet<>(running.keySet()));
+                    + new TreeSet<>(workerByRunningTask.keySet()));
         }
     }
 
     @Override
-    public void ended(FakeWorker worker, String task) {
-        if (!running.remove(task, worker) || !startsWithGang(task)) {
+    public void taskEnded(FakeWorker worker, String task) {
+        if (!workerByRunningTask.remove(task, worker) || !isGangTask(task)) {
             return;
         }
         String id = jobOf(task);
-        for (String mate : tasksOf(id)) {
-            FakeWorker other = running.get(mate);
+        for (String member : tasksOf(id)) {
+            FakeWorker other = workerByRunningTask.get(member);
             if (other != null) {
-                int attempt = other.tasks().attempt(mate);
-                time.after(GANG_PEER_MICROS, () -> gangMembersGiveUp(id, attempt));
+                int attempt = other.tasks().attempt(member);
+                clock.after(GANG_PEER_MICROS, () -> failGangMembers(id, attempt));
                 return;
             }
         }
     }
 
     @Override
-    public void completed(String task) {
-        completed.add(task);
+    public void taskCompleted(String task) {
+        completedTasks.add(task);
         String id = task.substring(0, task.indexOf('/'));
         if (isGang(id)) {
-            for (Map.Entry<String, FakeWorker> mate : new ArrayList<>(running.entrySet())) {
-                if (mate.getKey().startsWith(id + "/")) {
-                    mate.getValue().tasks().completeWithGang(mate.getKey());
+            for (Map.Entry<String, FakeWorker> member : new ArrayList<>(workerByRunningTask.entrySet())) {
+                if (member.getKey().startsWith(id + "/")) {
+                    member.getValue().tasks().completeWithGang(member.getKey());
                 }
             }
         }
@@ -311,8 +317,8 @@
     }
 
     /**
-     * The tasks of a gang complete together: none does while one of them is not there. That its machine hangs the others
-     * notice only after a while, and may have completed by then.
+     * The tasks of a gang complete together: none completes while a member does not run. The members detect a frozen machine
+     * only after {@link #GANG_PEER_MICROS} and may complete until then.
      */
     @Override
     public boolean mayComplete(String task) {
@@ -320,8 +326,8 @@
         if (!isGang(id)) {
             return true;
         }
-        for (int mate = 0; mate < Json.integer(jobs.get(id), "beads", 0); mate++) {
-            FakeWorker worker = running.get(id + "/" + mate);
+        for (int member = 0; member < Json.integer(jobs.get(id), "beads", 0); member++) {
+            FakeWorker worker = workerByRunningTask.get(id + "/" + member);
             if (worker == null || worker.isFrozenFor(GANG_PEER_MICROS)) {
                 return false;
             }
--- a/src/test/java/org/weldcourse/simulation/FakeCloud.java
+++ b/src/test/java/org/weldcourse/simulation/FakeCloud.java
@@ -11,53 +11,57 @@
 import org.weldcourse.http.Json;
 import org.weldcourse.http.Server;
 
-/** The cloud: two machine types in two zones, machines that come up after a while, and no lag but what is asked. */
+/** Fake cloud API with two machine types in two zones, a boot delay, and lists without lag. */
 public final class FakeCloud implements Server.Handler {
-    /** A machine as it was rented. */
+    /** A rented machine with the type, zone and pricing of its request. */
     public record RentedMachine(String name, String type, String zone, boolean spot) {}
 
-    private final FakeClock time;
+    private final FakeClock clock;
     public long bootMicros;
-    private final Consumer<RentedMachine> up;
-    private final Consumer<String> gone;
+    private final Consumer<RentedMachine> onMachineRunning;
+    private final Consumer<String> onMachineReleased;
     private final TreeMap<String, RentedMachine> machines = new TreeMap<>();
     private final Set<String> running = new HashSet<>();
     private final Map<String, List<String>> requests = new HashMap<>();
     private final Map<String, Long> rentedMicros = new HashMap<>();
     private int machinesCreated;
     private boolean down;
-    private boolean sendMalformedResponses;
+    private boolean malformed;
     public int capacity = 100;
-    private int refused;
+    private int refusedRequests;
     public final List<String> released = new ArrayList<>();
 
-    public FakeCloud(FakeClock time, long bootMicros, Consumer<RentedMachine> up, Consumer<String> gone) {
-        this.time = time;
+    public FakeCloud(
+            FakeClock clock,
+            long bootMicros,
+            Consumer<RentedMachine> onMachineRunning,
+            Consumer<String> onMachineReleased) {
+        this.clock = clock;
         this.bootMicros = bootMicros;
-        this.up = up;
-        this.gone = gone;
+        this.onMachineRunning = onMachineRunning;
+        this.onMachineReleased = onMachineReleased;
     }
 
-    /** Answers 200 with lists of what nobody asked for. */
-    public void sendMalformedResponses(boolean isNonsense) {
-        sendMalformedResponses = isNonsense;
+    /** Answers all requests with status 200 and a malformed body. */
+    public void sendMalformedResponses(boolean isMalformed) {
+        malformed = isMalformed;
     }
 
     public void down(boolean isDown) {
         down = isDown;
     }
 
-    /** Numbers new machines from here on: those with lower numbers belong to an earlier day. */
+    /** Sets the number of the next machine, so that new names differ from those in records of an earlier run. */
     public void setNextMachineNumber(int number) {
         machinesCreated = number;
     }
 
-    /** How many calls it refused while it was down. */
-    public int refused() {
-        return refused;
+    /** Number of requests refused while the cloud was down. */
+    public int refusedRequests() {
+        return refusedRequests;
     }
 
-    /** How many machines there were in all, those that are gone among them. */
+    /** Number of machines created so far, including released ones. */
     public int machinesCreated() {
         return machinesCreated;
     }
@@ -66,7 +70,7 @@
         return new HashSet<>(machines.keySet());
     }
 
-    /** A machine that nobody here asked for. */
+    /** Adds a machine that no controller requested, and returns its name. */
     public String addUnrequested(String type, String zone, boolean spot) {
         return make(type, zone, spot);
     }
@@ -75,11 +79,11 @@
         String name = String.format("m-%06d", machinesCreated++);
         RentedMachine rented = new RentedMachine(name, type, zone, spot);
         machines.put(name, rented);
-        rentedMicros.put(name, time.nowMicros());
-        time.after(bootMicros, () -> {
+        rentedMicros.put(name, clock.nowMicros());
+        clock.after(bootMicros, () -> {
             if (machines.containsKey(name)) {
                 running.add(name);
-                up.accept(rented);
+                onMachineRunning.accept(rented);
             }
         });
         return name;
@@ -88,11 +92,11 @@
     @Override
     public void handle(Server.Request request, Server.Reply reply) {
         if (down) {
-            refused++;
+            refusedRequests++;
             reply.send(503, Json.of("error", "trouble"));
             return;
         }
-        if (sendMalformedResponses) {
+        if (malformed) {
             reply.send(
                     200, Json.of("forges", List.of(7, Map.of("name_id", 3), "no"), "has_next", "perhaps", "rigs", 5));
             return;
@@ -108,7 +112,7 @@
                     if (machines.remove(name) != null) {
                         running.remove(name);
                         released.add(name);
-                        gone.accept(name);
+                        onMachineReleased.accept(name);
                     }
                 }
                 reply.send(200, Map.of());
@@ -165,9 +169,9 @@
     }
 
     private void list(Server.Reply reply) {
-        List<Object> forges = new ArrayList<>();
+        List<Object> listed = new ArrayList<>();
         for (RentedMachine rented : machines.values()) {
-            forges.add(Json.of(
+            listed.add(Json.of(
                     "name_id",
                     rented.name,
                     "addr",
@@ -181,8 +185,8 @@
                     "heat",
                     running.contains(rented.name) ? "running" : "starting",
                     "held_s",
-                    (time.nowMicros() - rentedMicros.get(rented.name)) / 1e6));
+                    (clock.nowMicros() - rentedMicros.get(rented.name)) / 1e6));
         }
-        reply.send(200, Json.of("forges", forges, "has_next", false));
+        reply.send(200, Json.of("forges", listed, "has_next", false));
     }
 }
--- a/src/test/java/org/weldcourse/simulation/FakeWorker.java
+++ b/src/test/java/org/weldcourse/simulation/FakeWorker.java
@@ -7,7 +7,7 @@
 import org.weldcourse.http.Json;
 import org.weldcourse.http.Server;
 
-/** A worker on one machine: its heartbeats, its lease and the orders that it takes. What tasks do is up to {@link FakeTaskRunner}. */
+/** Fake worker on one machine: sends heartbeats, tracks its lease and executes commands with a {@link FakeTaskRunner}. */
 public final class FakeWorker implements Server.Handler {
     private static final long HEARTBEAT_TIMEOUT_MICROS = 4_000_000;
 
@@ -31,7 +31,7 @@
     private boolean alive = true;
     private boolean frozen;
     private long frozenSinceMicros;
-    private final List<Runnable> waiting = new ArrayList<>();
+    private final List<Runnable> deferredWork = new ArrayList<>();
     private long preemptionMicros = -1;
     private boolean inFlight;
     private long lastSentMicros = -1_000_000;
@@ -72,12 +72,12 @@
         return fencingToken;
     }
 
-    /** Tasks that are on the machine, in the rules' sense. */
+    /** Tasks on the machine that have not exited, including those that still pull their image. */
     public List<String> presentTasks() {
-        return tasks.present();
+        return tasks.active();
     }
 
-    /** What runs and ran on the machine. */
+    /** The runner of the tasks on this machine. */
     FakeTaskRunner tasks() {
         return tasks;
     }
@@ -86,13 +86,13 @@
         return lastSentMicros;
     }
 
-    /** All that it ever sent, for copies of it to come late. */
+    /** All heartbeats sent so far, so that tests can deliver them again later. */
     public List<Map<String, Object>> heartbeats() {
         return heartbeats;
     }
 
     public int listedTasks() {
-        return tasks.listed();
+        return tasks.count();
     }
 
     public void announcePreemption(long micros) {
@@ -104,38 +104,38 @@
         return frozen;
     }
 
-    /** Whether it has been hanging for so long without a pause. */
+    /** Whether the machine has been frozen for at least {@code micros} without interruption. */
     public boolean isFrozenFor(long micros) {
         return frozen && clock.nowMicros() - frozenSinceMicros >= micros;
     }
 
-    /** It hangs: nothing on it goes on, and what comes for it waits until it does. */
+    /** Freezes or resumes the machine. Its tasks, timers and incoming messages wait while it is frozen. */
     public void freeze(boolean isFrozen) {
         if (isFrozen && !frozen) {
             frozenSinceMicros = clock.nowMicros();
         }
         frozen = isFrozen;
         if (frozen) {
-            behavior.hung(this);
+            behavior.machineFrozen(this);
         } else {
-            expire();
-            List<Runnable> held = new ArrayList<>(waiting);
-            waiting.clear();
-            held.forEach(Runnable::run);
+            killTasksIfLeaseExpired();
+            List<Runnable> deferred = new ArrayList<>(deferredWork);
+            deferredWork.clear();
+            deferred.forEach(Runnable::run);
         }
     }
 
-    /** Does the work now, or when the machine no longer hangs. */
-    void whenAwake(Runnable work) {
+    /** Runs the work now or, on a frozen machine, when it resumes. */
+    void runWhenNotFrozen(Runnable work) {
         if (frozen) {
-            waiting.add(work);
+            deferredWork.add(work);
         } else {
             work.run();
         }
     }
 
-    /** Tasks whose worker was not answered within its lease are killed. */
-    private void expire() {
+    /** Kills all tasks and starts a new incarnation when no heartbeat sent within the lease was answered. */
+    private void killTasksIfLeaseExpired() {
         if (clock.nowMicros() - answeredSentMicros > leaseMicros) {
             tasks.dropAll();
             incarnation++;
@@ -153,7 +153,7 @@
             return;
         }
         if (!frozen) {
-            expire();
+            killTasksIfLeaseExpired();
             if (clock.nowMicros() - lastSentMicros >= heartbeatMicros) {
                 sendHeartbeat();
             }
@@ -161,8 +161,8 @@
         clock.after(100_000, this::tick);
     }
 
-    /** A change makes for a heartbeat at once, but no sooner than half a second after the last one. */
-    void changed() {
+    /** Sends a heartbeat after a change at once, but not within half a second of the previous heartbeat. */
+    void scheduleHeartbeat() {
         clock.after(Math.max(0, lastSentMicros + 500_000 - clock.nowMicros()), this::sendHeartbeat);
     }
 
@@ -178,12 +178,12 @@
         heartbeats.add(body);
         caller.call(
                 new HttpClient.Call(controllers.get(target), "POST", "/checkin", body, HEARTBEAT_TIMEOUT_MICROS),
-                answer -> whenAwake(() -> {
+                answer -> runWhenNotFrozen(() -> {
                     inFlight = false;
                     if (!alive || sentIncarnation != incarnation) {
                         return;
                     }
-                    // What came while it hung is dropped when it goes on too late.
+                    // Drops a response that arrived while the machine was frozen and is handled after the timeout.
                     boolean inTime = clock.nowMicros() - sentMicros <= HEARTBEAT_TIMEOUT_MICROS;
                     if (inTime && answer.status() == 421) {
                         String leader = addressByName.get(Json.text(answer.body(), "foreman"));
@@ -192,7 +192,7 @@
                                 : controllers.indexOf(leader);
                         clock.after(200_000, this::sendHeartbeat);
                     } else if (inTime && answer.status() == 200) {
-                        answered(answer.body(), sentMicros);
+                        handleHeartbeatResponse(answer.body(), sentMicros);
                     } else {
                         target = (target + 1) % controllers.size();
                         clock.after(1_000_000, this::sendHeartbeat);
@@ -200,20 +200,20 @@
                 }));
     }
 
-    private void answered(Map<String, Object> body, long sentMicros) {
-        long theirs = Json.integer(body, "torch", 0);
-        if (theirs < fencingToken) {
+    private void handleHeartbeatResponse(Map<String, Object> body, long sentMicros) {
+        long receivedToken = Json.integer(body, "torch", 0);
+        if (receivedToken < fencingToken) {
             return;
         }
-        if (theirs > fencingToken) {
-            fencingToken = theirs;
-            changed();
+        if (receivedToken > fencingToken) {
+            fencingToken = receivedToken;
+            scheduleHeartbeat();
         }
         answeredSentMicros = sentMicros;
-        tasks.carryOut(Json.list(body.get("orders")));
+        tasks.execute(Json.list(body.get("orders")));
     }
 
-    /** How many messages came to it directly and were carried out. */
+    /** Number of command messages that controllers sent directly and that were executed. */
     public int directCommands() {
         return directCommands;
     }
@@ -244,10 +244,10 @@
 
     @Override
     public void handle(Server.Request request, Server.Reply reply) {
-        whenAwake(() -> order(request, reply));
+        runWhenNotFrozen(() -> handleCommands(request, reply));
     }
 
-    private void order(Server.Request request, Server.Reply reply) {
+    private void handleCommands(Server.Request request, Server.Reply reply) {
         Map<String, Object> body = Json.objectOrEmpty(request.body());
         if (!alive) {
             return;
@@ -258,7 +258,7 @@
         }
         fencingToken = Json.integer(body, "torch", 0);
         directCommands++;
-        tasks.carryOut(Json.list(body.get("orders")));
+        tasks.execute(Json.list(body.get("orders")));
         reply.send(200, heartbeat());
     }
 }
--- a/src/test/java/org/weldcourse/simulation/NetworkFaults.java
+++ b/src/test/java/org/weldcourse/simulation/NetworkFaults.java
@@ -13,30 +13,30 @@
 import org.weldcourse.http.Server;
 
 /**
- * What goes wrong on the way between two ends: cuts in one direction, refusals, delays, lost answers, late and repeated
- * messages. Everything that took effect is counted. Used on one thread alone.
+ * Injects faults into the links between endpoints: partitions in one direction, refusals, latency, lost responses, late
+ * execution and duplicates. Counts each fault that takes effect. Not thread-safe.
  */
 public final class NetworkFaults {
-    public static final String STATE = "state";
+    public static final String STORE = "state";
     public static final String CLOUD = "cloud";
-    /** Stands for a caller that can't be told from others. */
+    /** Stands for any endpoint, where a message does not tell which one sends or receives it. */
     public static final String ANY_ENDPOINT = "anybody";
 
-    private static final long LEAST_LATE_MICROS = 2_000_000;
-    private static final int MOST_MORE_LATE_MICROS = 10_000_000;
+    private static final long MIN_LATE_MICROS = 2_000_000;
+    private static final int LATE_SPREAD_MICROS = 10_000_000;
 
-    private final FakeClock time;
+    private final FakeClock clock;
     private final Set<String> cuts = new HashSet<>();
     private final Set<String> refusals = new HashSet<>();
-    private final Map<String, Long> slowMicros = new HashMap<>();
-    private final Map<String, Double> lostAnswerShares = new HashMap<>();
+    private final Map<String, Long> latencyMicros = new HashMap<>();
+    private final Map<String, Double> lostResponseShares = new HashMap<>();
     private final Map<String, Double> lateShares = new HashMap<>();
-    private final Map<String, Double> repeatShares = new HashMap<>();
+    private final Map<String, Double> duplicateShares = new HashMap<>();
     private final Map<Effect, Integer> effects = new TreeMap<>();
     private final List<Runnable> onHeal = new ArrayList<>();
     private Random random = new Random(0);
 
-    /** What became of a message. */
+    /** The effect of a fault on a message. */
     public enum Effect {
         REQUEST_CUT,
         ANSWER_CUT,
@@ -48,26 +48,26 @@
         PEERS_CUT
     }
 
-    NetworkFaults(FakeClock time) {
-        this.time = time;
+    NetworkFaults(FakeClock clock) {
+        this.clock = clock;
     }
 
-    /** The name of the way from one end to the other. */
+    /** Returns the name of the link from one endpoint to another. */
     public static String link(String from, String to) {
         return from + ">" + to;
     }
 
-    /** Decides from here on by this seed. */
+    /** Restarts the random decisions from this seed. */
     public void seed(long seed) {
         random = new Random(seed);
     }
 
-    /** Whatever goes from the one to the other gets lost, or on peers' connections waits. */
+    /** Cuts the link in this direction: HTTP messages are lost, and bytes between peers wait until the link is healed. */
     public void cut(String from, String to) {
         cuts.add(link(from, to));
     }
 
-    /** The way is whole again, in this direction. */
+    /** Heals the link in this direction. */
     public void heal(String from, String to) {
         cuts.remove(link(from, to));
         List.copyOf(onHeal).forEach(Runnable::run);
@@ -81,7 +81,7 @@
         onHeal.add(work);
     }
 
-    /** The callee refuses this caller with 503, or serves it again. */
+    /** Starts or stops refusing the requests on this link with status 503. */
     public void refuse(String from, String to, boolean refused) {
         if (refused) {
             refusals.add(link(from, to));
@@ -90,38 +90,38 @@
         }
     }
 
-    /** Each message takes so much longer. */
+    /** Sets the additional latency of requests on this link. */
     public void setLatency(String from, String to, long micros) {
-        slowMicros.put(link(from, to), micros);
+        latencyMicros.put(link(from, to), micros);
     }
 
-    /** Of this share of the messages the answer gets lost. */
+    /** Drops the response to this share of the requests. */
     public void loseResponses(String from, String to, double share) {
-        lostAnswerShares.put(link(from, to), share);
+        lostResponseShares.put(link(from, to), share);
     }
 
-    /** This share of the messages is carried out late, and never answered. */
+    /** Executes this share of the requests seconds later, without a response. */
     public void executeLate(String from, String to, double share) {
         lateShares.put(link(from, to), share);
     }
 
-    /** This share of the messages comes again some seconds later. */
+    /** Sends a copy of this share of the requests some seconds later. */
     public void duplicate(String from, String to, double share) {
-        repeatShares.put(link(from, to), share);
+        duplicateShares.put(link(from, to), share);
     }
 
-    /** Every link is as it should be. */
+    /** Removes all faults from all links. */
     public void healAll() {
         cuts.clear();
         refusals.clear();
-        slowMicros.clear();
-        lostAnswerShares.clear();
+        latencyMicros.clear();
+        lostResponseShares.clear();
         lateShares.clear();
-        repeatShares.clear();
+        duplicateShares.clear();
         List.copyOf(onHeal).forEach(Runnable::run);
     }
 
-    /** How often each kind took effect. */
+    /** Number of messages affected, by effect. */
     public Map<Effect, Integer> effects() {
         return effects;
     }
@@ -130,45 +130,45 @@
         effects.merge(effect, 1, Integer::sum);
     }
 
-    private boolean happens(Map<String, Double> shares, String link) {
+    private boolean occurs(Map<String, Double> shares, String link) {
         Double share = shares.get(link);
         return share != null && random.nextDouble() < share;
     }
 
-    private long lateMicros() {
-        return LEAST_LATE_MICROS + random.nextInt(MOST_MORE_LATE_MICROS);
+    private long randomLateMicros() {
+        return MIN_LATE_MICROS + random.nextInt(LATE_SPREAD_MICROS);
     }
 
-    /** A handler as this caller finds it. */
+    /** Wraps a handler with the faults on the link from this caller. */
     public Server.Handler wrapHandler(String from, String to, Server.Handler handler) {
-        String way = link(from, to);
+        String link = link(from, to);
         return (request, reply) -> {
-            if (cuts.contains(way)) {
+            if (cuts.contains(link)) {
                 count(Effect.REQUEST_CUT);
                 return;
             }
-            if (refusals.contains(way)) {
+            if (refusals.contains(link)) {
                 count(Effect.REFUSED);
                 reply.refuse(503, "refused", 1);
                 return;
             }
-            if (happens(lateShares, way)) {
+            if (occurs(lateShares, link)) {
                 count(Effect.CARRIED_OUT_LATE);
-                time.after(lateMicros(), () -> handler.handle(request, (status, body, retryAfterSeconds) -> {}));
+                clock.after(randomLateMicros(), () -> handler.handle(request, (status, body, retryAfterSeconds) -> {}));
                 return;
             }
-            long delayMicros = slowMicros.getOrDefault(way, 0L);
+            long delayMicros = latencyMicros.getOrDefault(link, 0L);
             if (delayMicros > 0) {
                 count(Effect.SLOWED);
-                time.after(delayMicros, () -> carryOut(from, to, handler, request, reply));
+                clock.after(delayMicros, () -> execute(from, to, handler, request, reply));
             } else {
-                carryOut(from, to, handler, request, reply);
+                execute(from, to, handler, request, reply);
             }
         };
     }
 
-    private void carryOut(String from, String to, Server.Handler handler, Server.Request request, Server.Reply reply) {
-        boolean lost = happens(lostAnswerShares, link(from, to));
+    private void execute(String from, String to, Server.Handler handler, Server.Request request, Server.Reply reply) {
+        boolean lost = occurs(lostResponseShares, link(from, to));
         handler.handle(request, (status, body, retryAfterSeconds) -> {
             if (cuts.contains(link(to, from))) {
                 count(Effect.ANSWER_CUT);
@@ -180,25 +180,25 @@
         });
     }
 
-    /** A caller as it reaches the ends with these addresses. */
+    /** Wraps a client with the faults on its links; {@code nameByAddress} maps addresses to endpoint names. */
     public HttpClient wrapClient(String from, HttpClient caller, Map<String, String> nameByAddress) {
-        return (call, done) -> {
+        return (call, callback) -> {
             String to = nameByAddress.getOrDefault(call.address(), call.address());
-            boolean[] ended = new boolean[1];
-            time.after(call.timeoutMicros(), () -> finish(ended, done, HttpClient.Response.NO_RESPONSE));
+            boolean[] completed = new boolean[1];
+            clock.after(call.timeoutMicros(), () -> completeOnce(completed, callback, HttpClient.Response.NO_RESPONSE));
             if (cuts.contains(link(from, to)) || cuts.contains(link(from, ANY_ENDPOINT))) {
                 count(Effect.REQUEST_CUT);
                 return;
             }
-            if (happens(repeatShares, link(from, ANY_ENDPOINT))) {
+            if (occurs(duplicateShares, link(from, ANY_ENDPOINT))) {
                 count(Effect.REPEATED);
-                time.after(lateMicros(), () -> caller.call(copy(call), answer -> {}));
+                clock.after(randomLateMicros(), () -> caller.call(copy(call), response -> {}));
             }
-            caller.call(call, answer -> {
+            caller.call(call, response -> {
                 if (cuts.contains(link(to, from)) || cuts.contains(link(ANY_ENDPOINT, from))) {
                     count(Effect.ANSWER_CUT);
                 } else {
-                    finish(ended, done, answer);
+                    completeOnce(completed, callback, response);
                 }
             });
         };
@@ -213,10 +213,10 @@
                 call.timeoutMicros());
     }
 
-    private static void finish(boolean[] ended, HttpClient.Callback done, HttpClient.Response answer) {
-        if (!ended[0]) {
-            ended[0] = true;
-            done.accept(answer);
+    private static void completeOnce(boolean[] completed, HttpClient.Callback callback, HttpClient.Response response) {
+        if (!completed[0]) {
+            completed[0] = true;
+            callback.accept(response);
         }
     }
 }
