--- a/src/test/java/org/weldcourse/simulation/ClusterInvariants.java
+++ b/src/test/java/org/weldcourse/simulation/ClusterInvariants.java
@@ -15,18 +15,24 @@
 
 /**
  * Checks the protocol's invariants on the tasks that run on machines and on the responses that users receive. A task counts
- * as running on its machine from the end of its image pull until it exits, is killed or its machine is released, also while
- * the machine is frozen or unreachable.
+ * as running from the end of its image pull until it exits, is killed or its machine is lost, also while the machine is
+ * frozen or unreachable.
  */
 public final class ClusterInvariants implements TaskBehavior {
     /** Time after which the members of a running gang detect that a member has ended or that its machine is frozen. */
     private static final long GANG_PEER_MICROS = 4_000_000;
 
-    private static final double ROUNDING = 1e-9;
+    private static final double ROUNDING_TOLERANCE = 1e-9;
 
+    /** Number of starts by task. */
     public final Map<String, Integer> starts = new HashMap<>();
+
+    /** Submission bodies by job. */
     public final Map<String, Map<String, Object>> jobs = new HashMap<>();
+
+    /** Run times by task or by job; the entry of a task takes precedence. */
     public final Map<String, Long> runMicros = new HashMap<>();
+
     private final Map<String, FakeWorker> workerByRunningTask = new HashMap<>();
     private final Map<String, Long> cancelledMicros = new HashMap<>();
     private final Set<String> completedTasks = new HashSet<>();
@@ -39,7 +45,7 @@
     private final FakeClock clock;
     private final List<Settings.Team> teams;
     private final long cancelMicros;
-    private BiConsumer<String, Integer> setStartListener = (task, attempt) -> {};
+    private BiConsumer<String, Integer> startListener = (task, attempt) -> {};
     private int startsAfterCancellation;
 
     public ClusterInvariants(FakeClock clock, List<Settings.Team> teams, long cancelMicros) {
@@ -50,12 +56,12 @@
 
     /** Replaces the listeners that are called with the task and attempt of each start, after the checks have passed. */
     public void setStartListener(BiConsumer<String, Integer> listener) {
-        setStartListener = listener;
+        startListener = listener;
     }
 
     /** Adds a listener that is called after the existing ones; see {@link #setStartListener}. */
     public void addStartListener(BiConsumer<String, Integer> listener) {
-        setStartListener = setStartListener.andThen(listener);
+        startListener = startListener.andThen(listener);
     }
 
     /** The latest state of the job that any controller reported (open, done or cancelled), or null. */
@@ -64,33 +70,34 @@
     }
 
     /**
-     * Fails when a response is wrong or older than {@code before}, the last state that was reported before the request was
-     * sent.
+     * Fails when a response is wrong, or reports a state older than {@code stateBefore}, the last state that was reported
+     * before the request was sent.
      */
-    public ApiResponse checkResponse(String id, String before, ApiResponse answer) {
-        if (answer.status() != 200 && answer.status() != 201) {
-            if (before != null && (answer.status() == 404 || answer.status() == 400 || answer.status() == 422)) {
-                throw new AssertionError("forgotten: " + id + " after " + before + ": " + answer);
+    public ApiResponse checkResponse(String id, String stateBefore, ApiResponse response) {
+        if (response.status() != 200 && response.status() != 201) {
+            if (stateBefore != null
+                    && (response.status() == 404 || response.status() == 400 || response.status() == 422)) {
+                throw new AssertionError("forgotten: " + id + " after " + stateBefore + ": " + response);
             }
-            return answer;
+            return response;
         }
         if (!jobs.containsKey(id)) {
             throw new AssertionError("invented: " + id);
         }
-        boolean isFinal = "done".equals(answer.state()) || "cancelled".equals(answer.state());
-        if (before != null && !before.equals("open") && !before.equals(answer.state())) {
-            throw new AssertionError("went_back: " + id + " from " + before + ": " + answer);
+        boolean isFinal = "done".equals(response.state()) || "cancelled".equals(response.state());
+        if (stateBefore != null && !stateBefore.equals("open") && !stateBefore.equals(response.state())) {
+            throw new AssertionError("went_back: " + id + " from " + stateBefore + ": " + response);
         }
-        if ("done".equals(answer.state())) {
+        if ("done".equals(response.state())) {
             checkDone(id);
         }
-        if ("cancelled".equals(answer.state())) {
+        if ("cancelled".equals(response.state())) {
             cancelledMicros.putIfAbsent(id, clock.nowMicros());
         }
         if (isFinal || !reportedStates.containsKey(id)) {
-            reportedStates.put(id, isFinal ? answer.state() : "open");
+            reportedStates.put(id, isFinal ? response.state() : "open");
         }
-        return answer;
+        return response;
     }
 
     private void checkDone(String id) {
@@ -172,11 +179,11 @@
         if (workerByRunningTask.containsKey(task)) {
             throw new AssertionError("ran_twice: " + task);
         }
-        Long cancelled = cancelledMicros.get(id);
-        if (cancelled != null && clock.nowMicros() > cancelled + cancelMicros) {
+        Long cancelledAtMicros = cancelledMicros.get(id);
+        if (cancelledAtMicros != null && clock.nowMicros() > cancelledAtMicros + cancelMicros) {
             throw new AssertionError("ran_cancelled: " + task);
         }
-        startsAfterCancellation += cancelled == null ? 0 : 1;
+        startsAfterCancellation += cancelledAtMicros == null ? 0 : 1;
         Map<String, Object> job = jobs.get(id);
         if (job == null) {
             throw new AssertionError("task of an unknown job: " + task);
@@ -185,7 +192,7 @@
         workerByRunningTask.put(task, worker);
         starts.merge(task, 1, Integer::sum);
         checkQuota();
-        setStartListener.accept(task, attempt);
+        startListener.accept(task, attempt);
         if (isGang(id)) {
             startGangIfComplete(id, attempt);
         }
@@ -239,9 +246,10 @@
 
     private void checkPlacement(Map<String, Object> job, String id, FakeWorker worker) {
         FakeCloud.RentedMachine machine = worker.machine();
-        boolean wrong = job.get("rigs") != null && !Json.list(job.get("rigs")).contains(machine.type())
-                || job.get("yard") != null && !job.get("yard").equals(machine.zone())
-                || !Json.flag(job, "loaners") && machine.spot();
+        boolean violated =
+                job.get("rigs") != null && !Json.list(job.get("rigs")).contains(machine.type())
+                        || job.get("yard") != null && !job.get("yard").equals(machine.zone())
+                        || !Json.flag(job, "loaners") && machine.spot();
         Set<String> zones = new HashSet<>();
         int sameZone = 1;
         for (Map.Entry<String, FakeWorker> entry : workerByRunningTask.entrySet()) {
@@ -253,14 +261,14 @@
         }
         zones.add(machine.zone());
         long tasks = Json.integer(job, "beads", 0);
-        wrong |= Json.flag(job, "together") && zones.size() > 1;
-        wrong |= Json.flag(job, "apart") && sameZone > (tasks + 1) / 2;
-        if (wrong) {
+        violated |= Json.flag(job, "together") && zones.size() > 1;
+        violated |= Json.flag(job, "apart") && sameZone > (tasks + 1) / 2;
+        if (violated) {
             throw new AssertionError("wrong_place: " + id + " on " + machine);
         }
     }
 
-    /** Checks the limits of all teams, not only that of the team whose task has just started. */
+    /** Checks all teams: any of them may have come to exceed its limit since the last check. */
     private void checkQuota() {
         for (Settings.Team team : teams) {
             checkQuota(team);
@@ -277,7 +285,7 @@
                 gpus += Json.decimal(job, "gpus", 0);
             }
         }
-        if (cpus > team.cpusMax() + ROUNDING || gpus > team.gpusMax() + ROUNDING) {
+        if (cpus > team.cpusMax() + ROUNDING_TOLERANCE || gpus > team.gpusMax() + ROUNDING_TOLERANCE) {
             throw new AssertionError("quota: " + team.name() + " uses " + cpus + " CPUs and " + gpus + " GPUs with "
                     + new TreeSet<>(workerByRunningTask.keySet()));
         }
@@ -290,9 +298,9 @@
         }
         String id = jobOf(task);
         for (String member : tasksOf(id)) {
-            FakeWorker other = workerByRunningTask.get(member);
-            if (other != null) {
-                int attempt = other.tasks().attempt(member);
+            FakeWorker remaining = workerByRunningTask.get(member);
+            if (remaining != null) {
+                int attempt = remaining.tasks().attempt(member);
                 clock.after(GANG_PEER_MICROS, () -> failGangMembers(id, attempt));
                 return;
             }
--- a/src/test/java/org/weldcourse/simulation/ClusterInvariantsTest.java
+++ b/src/test/java/org/weldcourse/simulation/ClusterInvariantsTest.java
@@ -45,7 +45,9 @@
         Map<String, Object> body = Json.of(
                 "torch", TOKEN, "shift", 1, "orders", List.of(Json.of("order", "run", "bead", task, "strike", 1)));
         workers.get(worker)
-                .handle(new Server.Request("POST", "/orders", Json.bytes(body)), (status, answer, later) -> {});
+                .handle(
+                        new Server.Request("POST", "/orders", Json.bytes(body)),
+                        (status, response, retryAfterSeconds) -> {});
     }
 
     private void expectQuotaViolation(int worker, String task) {
--- a/src/test/java/org/weldcourse/simulation/DeployedProgram.java
+++ b/src/test/java/org/weldcourse/simulation/DeployedProgram.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.function.UnaryOperator;
 
-/** Starts the program with the command in {@code deploy/service.toml}. */
+/** The start command from {@code deploy/service.toml}, and free ports for the processes that it starts. */
 public final class DeployedProgram {
     private static final int LOWEST_PORT = 10_000;
     private static final int PORT_COUNT = 22_000;
--- a/src/test/java/org/weldcourse/simulation/FakeCloud.java
+++ b/src/test/java/org/weldcourse/simulation/FakeCloud.java
@@ -13,7 +13,7 @@
 
 /** Fake cloud API with two machine types in two zones, a boot delay, and lists without lag. */
 public final class FakeCloud implements Server.Handler {
-    /** A rented machine with the type, zone and pricing of its request. */
+    /** A machine with the properties that its request asked for. */
     public record RentedMachine(String name, String type, String zone, boolean spot) {}
 
     private final FakeClock clock;
@@ -21,8 +21,8 @@
     private final Consumer<RentedMachine> onMachineRunning;
     private final Consumer<String> onMachineReleased;
     private final TreeMap<String, RentedMachine> machines = new TreeMap<>();
-    private final Set<String> running = new HashSet<>();
-    private final Map<String, List<String>> requests = new HashMap<>();
+    private final Set<String> runningMachines = new HashSet<>();
+    private final Map<String, List<String>> machinesByRequest = new HashMap<>();
     private final Map<String, Long> rentedMicros = new HashMap<>();
     private int machinesCreated;
     private boolean down;
@@ -72,17 +72,17 @@
 
     /** Adds a machine that no controller requested, and returns its name. */
     public String addUnrequested(String type, String zone, boolean spot) {
-        return make(type, zone, spot);
+        return createMachine(type, zone, spot);
     }
 
-    private String make(String type, String zone, boolean spot) {
+    private String createMachine(String type, String zone, boolean spot) {
         String name = String.format("m-%06d", machinesCreated++);
         RentedMachine rented = new RentedMachine(name, type, zone, spot);
         machines.put(name, rented);
         rentedMicros.put(name, clock.nowMicros());
         clock.after(bootMicros, () -> {
             if (machines.containsKey(name)) {
-                running.add(name);
+                runningMachines.add(name);
                 onMachineRunning.accept(rented);
             }
         });
@@ -105,12 +105,17 @@
         switch (request.path().split("\\?")[0]) {
             case "/machine_types" ->
                 reply.send(
-                        200, Json.of("rigs", List.of(type("small", 4, 16, 0.4, 0.2), type("large", 16, 64, 1.6, 0.8))));
+                        200,
+                        Json.of(
+                                "rigs",
+                                List.of(
+                                        machineType("small", 4, 16, 0.4, 0.2),
+                                        machineType("large", 16, 64, 1.6, 0.8))));
             case "/machines/release" -> {
                 for (Object item : Json.list(body.get("forges"))) {
                     String name = (String) item;
                     if (machines.remove(name) != null) {
-                        running.remove(name);
+                        runningMachines.remove(name);
                         released.add(name);
                         onMachineReleased.accept(name);
                     }
@@ -119,15 +124,16 @@
             }
             default -> {
                 if (request.method().equals("GET")) {
-                    list(reply);
+                    listMachines(reply);
                 } else {
-                    rent(body, reply);
+                    rentMachines(body, reply);
                 }
             }
         }
     }
 
-    private static Map<String, Object> type(String name, int cpus, int memoryGb, double price, double spotPrice) {
+    private static Map<String, Object> machineType(
+            String name, int cpus, int memoryGb, double price, double spotPrice) {
         return Json.of(
                 "name",
                 name,
@@ -151,24 +157,24 @@
                 List.of("a", "b"));
     }
 
-    private void rent(Map<String, Object> body, Server.Reply reply) {
+    private void rentMachines(Map<String, Object> body, Server.Reply reply) {
         String request = Json.text(body, "hire");
-        List<String> names = requests.get(request);
+        List<String> names = machinesByRequest.get(request);
         if (names == null) {
             names = new ArrayList<>();
             for (int i = 0; i < Json.integer(body, "number", 0) && machines.size() < capacity; i++) {
-                names.add(make(Json.text(body, "rig"), Json.text(body, "yard"), Json.flag(body, "loaners")));
+                names.add(createMachine(Json.text(body, "rig"), Json.text(body, "yard"), Json.flag(body, "loaners")));
             }
             if (names.isEmpty()) {
                 reply.send(503, Json.of("error", "no capacity"));
                 return;
             }
-            requests.put(request, names);
+            machinesByRequest.put(request, names);
         }
         reply.send(200, Json.of("forges", new ArrayList<Object>(names)));
     }
 
-    private void list(Server.Reply reply) {
+    private void listMachines(Server.Reply reply) {
         List<Object> listed = new ArrayList<>();
         for (RentedMachine rented : machines.values()) {
             listed.add(Json.of(
@@ -183,7 +189,7 @@
                     "loaners",
                     rented.spot,
                     "heat",
-                    running.contains(rented.name) ? "running" : "starting",
+                    runningMachines.contains(rented.name) ? "running" : "starting",
                     "held_s",
                     (clock.nowMicros() - rentedMicros.get(rented.name)) / 1e6));
         }
--- a/src/test/java/org/weldcourse/simulation/FakeNetwork.java
+++ b/src/test/java/org/weldcourse/simulation/FakeNetwork.java
@@ -25,7 +25,7 @@
      * delay in microseconds after which the call is executed and its response lost.
      */
     public interface FaultInjection {
-        long of(String from, HttpClient.Call call);
+        long outcomeOf(String from, HttpClient.Call call);
     }
 
     public static final long NORMAL = -1;
@@ -88,7 +88,7 @@
         return (call, callback) -> {
             boolean[] completed = new boolean[1];
             String link = from + ">" + call.address();
-            long outcome = faults.of(from, call);
+            long outcome = faults.outcomeOf(from, call);
             clock.after(call.timeoutMicros(), () -> completeOnce(completed, callback, HttpClient.Response.NO_RESPONSE));
             long delayMicros = ONE_WAY_MICROS + latencyMicros.getOrDefault(call.address(), 0L) + Math.max(0, outcome);
             clock.after(delayMicros, () -> {
--- a/src/test/java/org/weldcourse/simulation/FakeStore.java
+++ b/src/test/java/org/weldcourse/simulation/FakeStore.java
@@ -22,8 +22,8 @@
     private int maxValueBytes;
     private final TreeMap<String, Value> values = new TreeMap<>();
     private final List<Change> changes = new ArrayList<>();
-    private final Map<Long, Long> leaseEnds = new HashMap<>();
-    private final Map<Long, Long> leaseTtls = new HashMap<>();
+    private final Map<Long, Long> leaseExpiryMicros = new HashMap<>();
+    private final Map<Long, Long> leaseTtlMicros = new HashMap<>();
     private final Set<Runnable> watchers = new LinkedHashSet<>();
     private long revision;
     private long lastLeaseId;
@@ -32,8 +32,8 @@
     private int requests;
     private long compactedRevision;
     private Consumer<List<CommittedWrite>> onCommit = written -> {};
-    private String unguardedPrefix;
-    private String lostPrefix;
+    private String ignoredGuardPrefix;
+    private String lostWritePrefix;
 
     /** One write or deletion of a transaction; {@code value} is null for a deletion. */
     public record CommittedWrite(String key, Map<String, Object> value, long version) {}
@@ -51,18 +51,18 @@
 
     /** Ignores guards on keys with this prefix from now on, as a store that fails to check them would. */
     public void ignoreGuards(String prefix) {
-        unguardedPrefix = prefix;
+        ignoredGuardPrefix = prefix;
     }
 
     /** Acknowledges writes to keys with this prefix from now on, but discards them. */
     public void loseWrites(String prefix) {
-        lostPrefix = prefix;
+        lostWritePrefix = prefix;
     }
 
     /** Starts or ends an outage. All requests are refused during an outage, and each lease has its full TTL after it. */
     public void down(boolean isDown) {
         if (down && !isDown) {
-            leaseEnds.replaceAll((lease, end) -> clock.nowMicros() + leaseTtls.get(lease));
+            leaseExpiryMicros.replaceAll((lease, end) -> clock.nowMicros() + leaseTtlMicros.get(lease));
         }
         down = isDown;
         notifyWatchers();
@@ -138,8 +138,8 @@
             commit(body, reply);
         } else if (path.equals("/grants")) {
             long ttlMicros = Json.integer(body, "ttl_ms", 0) * 1000;
-            leaseTtls.put(++lastLeaseId, ttlMicros);
-            leaseEnds.put(lastLeaseId, clock.nowMicros() + ttlMicros);
+            leaseTtlMicros.put(++lastLeaseId, ttlMicros);
+            leaseExpiryMicros.put(lastLeaseId, clock.nowMicros() + ttlMicros);
             clock.after(ttlMicros + 1, this::expireLeases);
             reply.send(200, Json.of("permit", lastLeaseId));
         } else if (path.endsWith("/extend")) {
@@ -222,7 +222,7 @@
                 throw new AssertionError("value exceeds the size limit of the store: " + op.get("write"));
             }
             long lease = Json.integer(op, "permit", 0);
-            if (lease != 0 && !leaseEnds.containsKey(lease)) {
+            if (lease != 0 && !leaseExpiryMicros.containsKey(lease)) {
                 reply.send(400, Json.of("error", "no such lease"));
                 return;
             }
@@ -232,7 +232,7 @@
             Map<String, Object> guard = Json.object(item);
             Value value = values.get(Json.text(guard, "path"));
             String key = Json.text(guard, "path");
-            boolean ignored = unguardedPrefix != null && key.startsWith(unguardedPrefix);
+            boolean ignored = ignoredGuardPrefix != null && key.startsWith(ignoredGuardPrefix);
             if (!ignored && (value == null ? 0 : value.version) != Json.integer(guard, "mark", -1)) {
                 failed.add(key);
             }
@@ -269,7 +269,7 @@
     }
 
     private void put(String key, Value value) {
-        if (lostPrefix != null && key.startsWith(lostPrefix)) {
+        if (lostWritePrefix != null && key.startsWith(lostWritePrefix)) {
             return;
         }
         if (value == null) {
@@ -283,12 +283,12 @@
     }
 
     private void extend(long lease, Server.Reply reply) {
-        if (!leaseEnds.containsKey(lease)) {
+        if (!leaseExpiryMicros.containsKey(lease)) {
             reply.send(404, Map.of());
             return;
         }
-        leaseEnds.put(lease, clock.nowMicros() + leaseTtls.get(lease));
-        clock.after(leaseTtls.get(lease) + 1, this::expireLeases);
+        leaseExpiryMicros.put(lease, clock.nowMicros() + leaseTtlMicros.get(lease));
+        clock.after(leaseTtlMicros.get(lease) + 1, this::expireLeases);
         reply.send(200, Map.of());
     }
 
@@ -296,7 +296,7 @@
         if (down) {
             return;
         }
-        for (Map.Entry<Long, Long> entry : new HashMap<>(leaseEnds).entrySet()) {
+        for (Map.Entry<Long, Long> entry : new HashMap<>(leaseExpiryMicros).entrySet()) {
             if (entry.getValue() <= clock.nowMicros()) {
                 endLease(entry.getKey());
             }
@@ -304,7 +304,7 @@
     }
 
     private void endLease(long lease) {
-        if (leaseEnds.remove(lease) == null) {
+        if (leaseExpiryMicros.remove(lease) == null) {
             return;
         }
         List<String> attached = new ArrayList<>();
--- a/src/test/java/org/weldcourse/simulation/FakeTaskRunner.java
+++ b/src/test/java/org/weldcourse/simulation/FakeTaskRunner.java
@@ -59,13 +59,13 @@
         new ArrayList<>(tasks.keySet()).forEach(this::drop);
     }
 
-    void execute(List<Object> orders) {
-        for (Object item : orders) {
-            Map<String, Object> order = Json.object(item);
-            String taskId = Json.text(order, "bead");
-            int attempt = (int) Json.integer(order, "strike", 0);
+    void execute(List<Object> commands) {
+        for (Object item : commands) {
+            Map<String, Object> command = Json.object(item);
+            String taskId = Json.text(command, "bead");
+            int attempt = (int) Json.integer(command, "strike", 0);
             FakeTask task = tasks.get(taskId);
-            switch (Json.text(order, "order")) {
+            switch (Json.text(command, "order")) {
                 case "run" -> run(taskId, attempt, task);
                 case "halt" -> {
                     if (task != null && task.attempt == attempt && !task.isExited()) {
--- a/src/test/java/org/weldcourse/simulation/FakeWorker.java
+++ b/src/test/java/org/weldcourse/simulation/FakeWorker.java
@@ -12,7 +12,7 @@
     private static final long HEARTBEAT_TIMEOUT_MICROS = 4_000_000;
 
     private final FakeClock clock;
-    private final HttpClient caller;
+    private final HttpClient client;
     private final List<String> controllers;
     private final Map<String, String> addressByName;
     private final FakeCloud.RentedMachine machine;
@@ -26,7 +26,7 @@
     private long sequence;
     private long fencingToken;
     private int directCommands;
-    private long answeredSentMicros;
+    private long lastAnsweredHeartbeatMicros;
     private int target;
     private boolean alive = true;
     private boolean frozen;
@@ -38,7 +38,7 @@
 
     public FakeWorker(
             FakeClock clock,
-            HttpClient caller,
+            HttpClient client,
             List<String> controllers,
             Map<String, String> addressByName,
             FakeCloud.RentedMachine machine,
@@ -47,7 +47,7 @@
             long heartbeatMicros,
             long leaseMicros) {
         this.clock = clock;
-        this.caller = caller;
+        this.client = client;
         this.controllers = controllers;
         this.addressByName = addressByName;
         this.machine = machine;
@@ -56,7 +56,7 @@
         this.tasks = new FakeTaskRunner(this, clock, behavior);
         this.heartbeatMicros = heartbeatMicros;
         this.leaseMicros = leaseMicros;
-        this.answeredSentMicros = clock.nowMicros();
+        this.lastAnsweredHeartbeatMicros = clock.nowMicros();
         tick();
     }
 
@@ -136,10 +136,10 @@
 
     /** Kills all tasks and starts a new incarnation when no heartbeat sent within the lease was answered. */
     private void killTasksIfLeaseExpired() {
-        if (clock.nowMicros() - answeredSentMicros > leaseMicros) {
+        if (clock.nowMicros() - lastAnsweredHeartbeatMicros > leaseMicros) {
             tasks.dropAll();
             incarnation++;
-            answeredSentMicros = clock.nowMicros();
+            lastAnsweredHeartbeatMicros = clock.nowMicros();
         }
     }
 
@@ -176,23 +176,23 @@
         long sentIncarnation = incarnation;
         Map<String, Object> body = heartbeat();
         heartbeats.add(body);
-        caller.call(
+        client.call(
                 new HttpClient.Call(controllers.get(target), "POST", "/checkin", body, HEARTBEAT_TIMEOUT_MICROS),
-                answer -> runWhenNotFrozen(() -> {
+                response -> runWhenNotFrozen(() -> {
                     inFlight = false;
                     if (!alive || sentIncarnation != incarnation) {
                         return;
                     }
                     // Drops a response that arrived while the machine was frozen and is handled after the timeout.
                     boolean inTime = clock.nowMicros() - sentMicros <= HEARTBEAT_TIMEOUT_MICROS;
-                    if (inTime && answer.status() == 421) {
-                        String leader = addressByName.get(Json.text(answer.body(), "foreman"));
+                    if (inTime && response.status() == 421) {
+                        String leader = addressByName.get(Json.text(response.body(), "foreman"));
                         target = leader == null || leader.equals(controllers.get(target))
                                 ? (target + 1) % controllers.size()
                                 : controllers.indexOf(leader);
                         clock.after(200_000, this::sendHeartbeat);
-                    } else if (inTime && answer.status() == 200) {
-                        handleHeartbeatResponse(answer.body(), sentMicros);
+                    } else if (inTime && response.status() == 200) {
+                        handleHeartbeatResponse(response.body(), sentMicros);
                     } else {
                         target = (target + 1) % controllers.size();
                         clock.after(1_000_000, this::sendHeartbeat);
@@ -209,7 +209,7 @@
             fencingToken = receivedToken;
             scheduleHeartbeat();
         }
-        answeredSentMicros = sentMicros;
+        lastAnsweredHeartbeatMicros = sentMicros;
         tasks.execute(Json.list(body.get("orders")));
     }
 
--- a/src/test/java/org/weldcourse/simulation/LoopbackCluster.java
+++ b/src/test/java/org/weldcourse/simulation/LoopbackCluster.java
@@ -33,9 +33,9 @@
     private static final long HEARTBEAT_MICROS = 1_000_000;
     private static final long LEASE_MICROS = 10_000_000;
     private static final long CANCEL_MICROS = 35_000_000;
-    private static final int TXN_OPS = 16;
-    private static final int VALUE_BYTES = 32 * 1024;
-    private static final int CONNECTIONS = 500;
+    private static final int MAX_TRANSACTION_OPS = 16;
+    private static final int MAX_VALUE_BYTES = 32 * 1024;
+    private static final int MAX_CONNECTIONS = 500;
 
     private final EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
     private final FakeClock clock = new FakeClock();
@@ -51,7 +51,7 @@
     private final Map<String, Process> processes = new ConcurrentHashMap<>();
     private final Path directory;
     /** Ports of the store, one for each controller, so that a fault can hit the link of a single controller. */
-    private final Map<String, Integer> statePorts = new LinkedHashMap<>();
+    private final Map<String, Integer> storePorts = new LinkedHashMap<>();
 
     /** Ports of the cloud, one for each controller as well. */
     private final Map<String, Integer> cloudPorts = new LinkedHashMap<>();
@@ -81,8 +81,8 @@
         this.options = options;
         faults = new NetworkFaults(clock);
         invariants = new ClusterInvariants(clock, teams, CANCEL_MICROS);
-        store = new FakeStore(clock, TXN_OPS, VALUE_BYTES);
-        cloud = new FakeCloud(clock, BOOT_MICROS, this::machineUp, this::machineGone);
+        store = new FakeStore(clock, MAX_TRANSACTION_OPS, MAX_VALUE_BYTES);
+        cloud = new FakeCloud(clock, BOOT_MICROS, this::startWorker, this::stopWorker);
         cloud.capacity = machines;
         for (int i = 0; i < machines + machines / 2; i++) {
             WorkerAddress[] worker = new WorkerAddress[1];
@@ -94,7 +94,7 @@
             String name = "n" + i;
             apiPorts.put(name, DeployedProgram.freePort());
             peerPorts.put(name, DeployedProgram.freePort());
-            statePorts.put(name, serve(faults.wrapHandler(name, NetworkFaults.STORE, store)));
+            storePorts.put(name, serve(faults.wrapHandler(name, NetworkFaults.STORE, store)));
             cloudPorts.put(name, serve(faults.wrapHandler(name, NetworkFaults.CLOUD, cloud)));
         }
         for (String from : apiPorts.keySet()) {
@@ -113,8 +113,8 @@
 
     private int serve(Server.Handler handler) throws IOException, InterruptedException {
         int port = DeployedProgram.freePort();
-        Server.Limits limits = new Server.Limits(CONNECTIONS, CONNECTIONS, Long.MAX_VALUE, Long.MAX_VALUE / 2);
-        Server.Handler recording = (request, reply) -> recordFailures(() -> handler.handle(request, reply));
+        Server.Limits limits = new Server.Limits(MAX_CONNECTIONS, MAX_CONNECTIONS, Long.MAX_VALUE, Long.MAX_VALUE / 2);
+        Server.Handler recording = (request, reply) -> runAndRecordFailure(() -> handler.handle(request, reply));
         new Server(loop, recording, new EventLoopTimers(loop), limits, () -> {}).listen(HOST + ":" + port);
         return port;
     }
@@ -123,11 +123,11 @@
         long nowNanos = System.nanoTime();
         long elapsedMicros = (nowNanos - lastTickNanos) / 1_000;
         lastTickNanos += elapsedMicros * 1_000;
-        recordFailures(() -> clock.pass(elapsedMicros));
-        recordFailures(invariants::checkCancelled);
+        runAndRecordFailure(() -> clock.pass(elapsedMicros));
+        runAndRecordFailure(invariants::checkCancelled);
     }
 
-    private void recordFailures(Runnable work) {
+    private void runAndRecordFailure(Runnable work) {
         try {
             work.run();
         } catch (AssertionError violation) {
@@ -146,22 +146,22 @@
         }
     }
 
-    /** Runs on the event loop of the fakes and returns the result. */
+    /** Runs work on the event loop of the fakes and returns its result. */
     public <T> T callOnEventLoop(Supplier<T> work) throws Exception {
         return CompletableFuture.supplyAsync(work, loop).get(30, TimeUnit.SECONDS);
     }
 
     /** Runs work that is on the event loop already, and records its failure for {@link #throwFailure}. */
     public void runRecordingFailure(Runnable work) {
-        recordFailures(work);
+        runAndRecordFailure(work);
     }
 
     /** Runs work on the event loop without waiting for it, and records its failure for {@link #throwFailure}. */
     public void runOnEventLoop(Runnable work) {
-        loop.execute(() -> recordFailures(work));
+        loop.execute(() -> runAndRecordFailure(work));
     }
 
-    private void machineUp(FakeCloud.RentedMachine rented) {
+    private void startWorker(FakeCloud.RentedMachine rented) {
         WorkerAddress address = freeAddresses.poll();
         if (address == null) {
             return;
@@ -205,7 +205,7 @@
         FakeWorker worker = workers.remove(name);
         worker.kill();
         freeAddresses.addFirst(addresses.remove(name));
-        machineUp(worker.machine());
+        startWorker(worker.machine());
     }
 
     /** The faults injected into the links of this cluster. */
@@ -226,7 +226,7 @@
         return new NettyHttpClient(loop, () -> 4);
     }
 
-    private void machineGone(String name) {
+    private void stopWorker(String name) {
         FakeWorker worker = workers.remove(name);
         if (worker != null) {
             worker.kill();
@@ -238,7 +238,7 @@
         }
     }
 
-    // Controllers
+    // Controller processes
 
     /** The names of all controllers. */
     public List<String> names() {
@@ -257,7 +257,7 @@
                 peerProxies.get(NetworkFaults.link(other, name)).open();
             }
         }
-        List<String> command = DeployedProgram.command(word -> word);
+        List<String> command = DeployedProgram.command(argument -> argument);
         command.add(settingsFile(name).toString());
         command.addAll(options);
         processes.put(
@@ -315,7 +315,7 @@
             }
         });
         text.append("[endpoints]\ncloud = \"").append(HOST + ":" + cloudPorts.get(name));
-        text.append("\"\nstate = \"").append(HOST + ":" + statePorts.get(name)).append("\"\n");
+        text.append("\"\nstate = \"").append(HOST + ":" + storePorts.get(name)).append("\"\n");
         text.append("[deployment]\nzones = [\"a\", \"b\"]\n");
         for (Settings.Team team : teams) {
             text.append("[[deployment.teams]]\nname = \"").append(team.name()).append("\"\n");
--- a/src/test/java/org/weldcourse/simulation/NetworkFaults.java
+++ b/src/test/java/org/weldcourse/simulation/NetworkFaults.java
@@ -135,7 +135,7 @@
         return share != null && random.nextDouble() < share;
     }
 
-    private long randomLateMicros() {
+    private long randomDelayMicros() {
         return MIN_LATE_MICROS + random.nextInt(LATE_SPREAD_MICROS);
     }
 
@@ -154,7 +154,8 @@
             }
             if (occurs(lateShares, link)) {
                 count(Effect.CARRIED_OUT_LATE);
-                clock.after(randomLateMicros(), () -> handler.handle(request, (status, body, retryAfterSeconds) -> {}));
+                clock.after(
+                        randomDelayMicros(), () -> handler.handle(request, (status, body, retryAfterSeconds) -> {}));
                 return;
             }
             long delayMicros = latencyMicros.getOrDefault(link, 0L);
@@ -181,7 +182,7 @@
     }
 
     /** Wraps a client with the faults on its links; {@code nameByAddress} maps addresses to endpoint names. */
-    public HttpClient wrapClient(String from, HttpClient caller, Map<String, String> nameByAddress) {
+    public HttpClient wrapClient(String from, HttpClient client, Map<String, String> nameByAddress) {
         return (call, callback) -> {
             String to = nameByAddress.getOrDefault(call.address(), call.address());
             boolean[] completed = new boolean[1];
@@ -192,9 +193,9 @@
             }
             if (occurs(duplicateShares, link(from, ANY_ENDPOINT))) {
                 count(Effect.REPEATED);
-                clock.after(randomLateMicros(), () -> caller.call(copy(call), response -> {}));
+                clock.after(randomDelayMicros(), () -> client.call(copy(call), response -> {}));
             }
-            caller.call(call, response -> {
+            client.call(call, response -> {
                 if (cuts.contains(link(to, from)) || cuts.contains(link(ANY_ENDPOINT, from))) {
                     count(Effect.ANSWER_CUT);
                 } else {
--- a/src/test/java/org/weldcourse/simulation/PausableProcess.java
+++ b/src/test/java/org/weldcourse/simulation/PausableProcess.java
@@ -31,10 +31,10 @@
 
     void resume() {
         paused = false;
-        List<Runnable> all = new ArrayList<>(deferredWork);
+        List<Runnable> deferred = new ArrayList<>(deferredWork);
         deferredWork.clear();
-        Collections.shuffle(all, random);
-        all.forEach(Runnable::run);
+        Collections.shuffle(deferred, random);
+        deferred.forEach(Runnable::run);
     }
 
     void run(Runnable work) {
@@ -58,7 +58,7 @@
         return () -> cancelled[0] = true;
     }
 
-    HttpClient caller(HttpClient client) {
-        return (call, done) -> client.call(call, response -> run(() -> done.accept(response)));
+    HttpClient wrapClient(HttpClient client) {
+        return (call, callback) -> client.call(call, response -> run(() -> callback.accept(response)));
     }
 }
--- a/src/test/java/org/weldcourse/simulation/PeerProxy.java
+++ b/src/test/java/org/weldcourse/simulation/PeerProxy.java
@@ -20,7 +20,7 @@
 
 /**
  * TCP proxy for the connections from one controller to another. While the link is cut, the proxy buffers the bytes, and
- * delivers them in order when the link is healed. A closed proxy refuses connections like the port of an ended process.
+ * delivers them in order when the link is healed. A closed proxy refuses connections like the port of a terminated process.
  */
 final class PeerProxy {
     private static final String HOST = "127.0.0.1";
--- a/src/test/java/org/weldcourse/simulation/RandomJob.java
+++ b/src/test/java/org/weldcourse/simulation/RandomJob.java
@@ -50,7 +50,7 @@
             int runSpreadMicros,
             int maxFetchMicros) {
         String id = Json.text(body, "name_id");
-        boolean endless = isEndless(body);
+        boolean endless = isService(body);
         if (endless) {
             invariants.runMicros.put(id, Long.MAX_VALUE);
         }
@@ -59,7 +59,7 @@
         return endless;
     }
 
-    private static boolean isEndless(Map<String, Object> body) {
+    private static boolean isService(Map<String, Object> body) {
         return "service".equals(body.get("shape"));
     }
 }
--- a/src/test/java/org/weldcourse/simulation/RecordCapture.java
+++ b/src/test/java/org/weldcourse/simulation/RecordCapture.java
@@ -90,7 +90,7 @@
         cluster.runMicros.put(id, Math.round(runSeconds * 1e6));
         int status = cluster.submit("n0", JobBodies.jobBody(id, changes)).status();
         if (status != 201) {
-            throw new IllegalStateException("submission of " + id + " failed with status " + status);
+            throw new IllegalStateException(id + " was not accepted: status " + status);
         }
     }
 }
--- a/src/test/java/org/weldcourse/simulation/SimulatedCluster.java
+++ b/src/test/java/org/weldcourse/simulation/SimulatedCluster.java
@@ -47,8 +47,8 @@
                 List.of(new Settings.Team("core", 0, 0, 0, 0), new Settings.Team("capped", 0, 8, 0, 0)));
     }
 
-    public SimulatedCluster(int nodes, int txnOps, int valueBytes, List<Settings.Team> teams) {
-        this(nodes, txnOps, valueBytes, teams, List.of(), null);
+    public SimulatedCluster(int nodes, int maxTransactionOps, int maxValueBytes, List<Settings.Team> teams) {
+        this(nodes, maxTransactionOps, maxValueBytes, teams, List.of(), null);
     }
 
     public SimulatedCluster(int nodes, List<Settings.ServiceLevelObjective> objectives) {
@@ -58,11 +58,11 @@
     /** Creates a cluster whose controllers take the team limits from {@code teamLimits}. */
     public SimulatedCluster(
             int nodes,
-            int txnOps,
-            int valueBytes,
+            int maxTransactionOps,
+            int maxValueBytes,
             List<Settings.Team> teams,
             OperatorSettings.TeamLimitSource teamLimits) {
-        this(nodes, txnOps, valueBytes, teams, List.of(), null, withTeamLimitSource(teamLimits));
+        this(nodes, maxTransactionOps, maxValueBytes, teams, List.of(), null, withTeamLimitSource(teamLimits));
     }
 
     /** Returns the default operator settings with another source of team limits. */
@@ -79,18 +79,18 @@
     /** Creates a cluster whose store has announced the limits {@code next}; {@link FakeStore#limit} applies them. */
     public SimulatedCluster(
             int nodes,
-            int txnOps,
-            int valueBytes,
+            int maxTransactionOps,
+            int maxValueBytes,
             List<Settings.Team> teams,
             List<Settings.ServiceLevelObjective> objectives,
             Settings.UpcomingStoreLimits next) {
-        this(nodes, txnOps, valueBytes, teams, objectives, next, OperatorSettings.DEFAULT);
+        this(nodes, maxTransactionOps, maxValueBytes, teams, objectives, next, OperatorSettings.DEFAULT);
     }
 
     private SimulatedCluster(
             int nodes,
-            int txnOps,
-            int valueBytes,
+            int maxTransactionOps,
+            int maxValueBytes,
             List<Settings.Team> teams,
             List<Settings.ServiceLevelObjective> objectives,
             Settings.UpcomingStoreLimits next,
@@ -99,17 +99,17 @@
         starts = invariants.starts;
         jobs = invariants.jobs;
         runMicros = invariants.runMicros;
-        store = new FakeStore(clock, txnOps, valueBytes);
-        cloud = new FakeCloud(clock, 5_000_000, this::machineUp, this::machineGone);
+        store = new FakeStore(clock, maxTransactionOps, maxValueBytes);
+        cloud = new FakeCloud(clock, 5_000_000, this::startWorker, this::stopWorker);
         network.host(STORE, store);
         network.host(CLOUD, cloud);
-        Settings.StoreLimits storeLimits = new Settings.StoreLimits(250, 50, valueBytes, txnOps, next);
+        Settings.StoreLimits storeLimits = new Settings.StoreLimits(250, 50, maxValueBytes, maxTransactionOps, next);
         controllers = new SimulatedControllers(nodes, clock, network, teams, objectives, storeLimits, operatorSettings);
         controllers.startAll();
         tick();
     }
 
-    /** Creates a cluster and runs it until it has a leader. */
+    /** Creates a cluster and runs it long enough to elect a leader. */
     public static SimulatedCluster settled(int nodes) {
         SimulatedCluster cluster = new SimulatedCluster(nodes);
         cluster.clock.passSeconds(2);
@@ -222,7 +222,7 @@
         return controllers.settings(name);
     }
 
-    private void machineUp(FakeCloud.RentedMachine rented) {
+    private void startWorker(FakeCloud.RentedMachine rented) {
         FakeWorker worker = new FakeWorker(
                 clock,
                 network.client(rented.name()),
@@ -241,10 +241,10 @@
     public void restartMachine(String name) {
         FakeWorker worker = workers.remove(name);
         worker.kill();
-        machineUp(worker.machine());
+        startWorker(worker.machine());
     }
 
-    private void machineGone(String name) {
+    private void stopWorker(String name) {
         FakeWorker worker = workers.remove(name);
         if (worker != null) {
             worker.kill();
@@ -252,7 +252,7 @@
         }
     }
 
-    // Users
+    // Requests of users
 
     /** A response of the user API; status 0 stands for no response. */
     public record ApiResponse(int status, Map<String, Object> body, int retryAfterSeconds) {
@@ -279,39 +279,44 @@
     }
 
     /** Submits a job and passes the response to {@code then}, without waiting for it. */
-    public void submitAsync(String node, Map<String, Object> job, Consumer<ApiResponse> then) {
+    public void submitAsync(String node, Map<String, Object> job, Consumer<ApiResponse> callback) {
         String id = Json.text(job, "name_id");
-        String before = invariants.lastReportedState(id);
+        String stateBefore = invariants.lastReportedState(id);
         jobs.put(id, Json.objectOrEmpty(Json.bytes(job)));
-        sendAsync(node, "POST", "/v1/jobs", Json.bytes(job), answer -> then.accept(checkResponse(id, before, answer)));
+        sendAsync(
+                node,
+                "POST",
+                "/v1/jobs",
+                Json.bytes(job),
+                response -> callback.accept(checkResponse(id, stateBefore, response)));
     }
 
     /** Cancels a job without waiting for the response, which is checked when it arrives. */
     public void cancelAsync(String node, String id) {
-        String before = invariants.lastReportedState(id);
+        String stateBefore = invariants.lastReportedState(id);
         String path = "/v1/jobs/" + id + "/withdraw";
-        sendAsync(node, "POST", path, new byte[0], answer -> checkResponse(id, before, answer));
+        sendAsync(node, "POST", path, new byte[0], response -> checkResponse(id, stateBefore, response));
     }
 
     /** Posts a body to a controller and ignores the response. */
     public void postAsync(String node, String path, Map<String, Object> body) {
-        sendAsync(node, "POST", path, Json.bytes(body), answer -> {});
+        sendAsync(node, "POST", path, Json.bytes(body), response -> {});
     }
 
     /** Sends a request to a controller; a paused one handles it when it resumes. */
-    private void sendAsync(String node, String method, String path, byte[] body, Consumer<ApiResponse> then) {
+    private void sendAsync(String node, String method, String path, byte[] body, Consumer<ApiResponse> callback) {
         Controller controller = controllers.get(node);
-        controllers.process(node).run(() -> handle(controller, method, path, body, then));
+        controllers.process(node).run(() -> handle(controller, method, path, body, callback));
     }
 
     private static void handle(
-            Controller controller, String method, String path, byte[] body, Consumer<ApiResponse> then) {
+            Controller controller, String method, String path, byte[] body, Consumer<ApiResponse> callback) {
         controller
                 .requestHandler()
                 .handle(
                         new Server.Request(method, path, body),
-                        (status, answer, retryAfterSeconds) -> then.accept(
-                                new ApiResponse(status, Json.objectOrEmpty(Json.bytes(answer)), retryAfterSeconds)));
+                        (status, response, retryAfterSeconds) -> callback.accept(
+                                new ApiResponse(status, Json.objectOrEmpty(Json.bytes(response)), retryAfterSeconds)));
     }
 
     /** Number of writes to the records of outstanding tasks. */
@@ -326,9 +331,9 @@
 
     /** Polls a job without waiting; the response is checked against the last state reported before the request. */
     public void pollAsync(String node, String id) {
-        String before = invariants.lastReportedState(id);
-        handle(controllers.get(node), "GET", "/v1/jobs/" + id, new byte[0], answer -> {
-            checkResponse(id, before, answer);
+        String stateBefore = invariants.lastReportedState(id);
+        handle(controllers.get(node), "GET", "/v1/jobs/" + id, new byte[0], response -> {
+            checkResponse(id, stateBefore, response);
             pollResponses++;
         });
     }
@@ -348,8 +353,8 @@
         invariants.addExistingJob(record, done);
     }
 
-    private ApiResponse checkResponse(String id, String before, ApiResponse answer) {
-        return invariants.checkResponse(id, before, answer);
+    private ApiResponse checkResponse(String id, String stateBefore, ApiResponse response) {
+        return invariants.checkResponse(id, stateBefore, response);
     }
 
     /** Fails when a task of a cancelled job still runs after the time allowed for cancellation. */
@@ -378,14 +383,14 @@
         return invariants;
     }
 
-    /** Sends a request and advances the clock until its response, for five seconds at most; status 0 means no response. */
+    /** Sends a request and advances the clock until the response, for five seconds at most. */
     public ApiResponse request(String node, String method, String path, byte[] body) {
-        ApiResponse[] answer = new ApiResponse[1];
-        handle(controllers.get(node), method, path, body, got -> answer[0] = got);
-        for (int i = 0; i < 500 && answer[0] == null; i++) {
+        ApiResponse[] response = new ApiResponse[1];
+        handle(controllers.get(node), method, path, body, received -> response[0] = received);
+        for (int i = 0; i < 500 && response[0] == null; i++) {
             clock.pass(10_000);
         }
-        return answer[0] == null ? new ApiResponse(0, Map.of(), 0) : answer[0];
+        return response[0] == null ? new ApiResponse(0, Map.of(), 0) : response[0];
     }
 
     /** Advances the clock until the job has this state or {@code seconds} are over, and returns whether it has it. */
--- a/src/test/java/org/weldcourse/simulation/SimulatedControllers.java
+++ b/src/test/java/org/weldcourse/simulation/SimulatedControllers.java
@@ -54,7 +54,7 @@
         Controller controller = new Controller(
                 settings(name),
                 operatorSettings,
-                process.caller(network.client(name)),
+                process.wrapClient(network.client(name)),
                 clock,
                 process,
                 String.valueOf(++starts));
