--- a/src/test/java/org/weldcourse/simulation/FakeCloud.java
+++ b/src/test/java/org/weldcourse/simulation/FakeCloud.java
@@ -42,7 +42,7 @@
         this.onMachineReleased = onMachineReleased;
     }
 
-    /** Answers all requests with status 200 and a malformed body. */
+    /** Starts or stops answering all requests with status 200 and a malformed body. */
     public void sendMalformedResponses(boolean isMalformed) {
         malformed = isMalformed;
     }
--- a/src/test/java/org/weldcourse/simulation/RecordCapture.java
+++ b/src/test/java/org/weldcourse/simulation/RecordCapture.java
@@ -18,7 +18,7 @@
  * java -cp 'target/classes:target/test-classes:target/lib/*' org.weldcourse.simulation.RecordCapture records.json
  * </pre>
  *
- * The store takes values of 4 KiB and transactions of 8 changes, and announces limits of 2 KiB and 4 changes.
+ * The store takes values of 4 KiB and transactions of 8 changes, and announces lower limits of 2 KiB and 4 changes.
  */
 public final class RecordCapture {
     private static final String SMALL_ARRAY = "req-000001";
--- a/src/test/java/org/weldcourse/simulation/SimulatedCluster.java
+++ b/src/test/java/org/weldcourse/simulation/SimulatedCluster.java
@@ -252,8 +252,6 @@
         }
     }
 
-    // Requests of users
-
     /** A response of the user API; status 0 stands for no response. */
     public record ApiResponse(int status, Map<String, Object> body, int retryAfterSeconds) {
         public String state() {
@@ -279,23 +277,18 @@
     }
 
     /** Submits a job and passes the response to {@code then}, without waiting for it. */
-    public void submitAsync(String node, Map<String, Object> job, Consumer<ApiResponse> callback) {
+    public void submitAsync(String node, Map<String, Object> job, Consumer<ApiResponse> then) {
         String id = Json.text(job, "name_id");
-        String stateBefore = invariants.lastReportedState(id);
+        String before = invariants.lastReportedState(id);
         jobs.put(id, Json.objectOrEmpty(Json.bytes(job)));
-        sendAsync(
-                node,
-                "POST",
-                "/v1/jobs",
-                Json.bytes(job),
-                response -> callback.accept(checkResponse(id, stateBefore, response)));
+        sendAsync(node, "POST", "/v1/jobs", Json.bytes(job), reply -> then.accept(checkResponse(id, before, reply)));
     }
 
     /** Cancels a job without waiting for the response, which is checked when it arrives. */
     public void cancelAsync(String node, String id) {
-        String stateBefore = invariants.lastReportedState(id);
+        String before = invariants.lastReportedState(id);
         String path = "/v1/jobs/" + id + "/withdraw";
-        sendAsync(node, "POST", path, new byte[0], response -> checkResponse(id, stateBefore, response));
+        sendAsync(node, "POST", path, new byte[0], response -> checkResponse(id, before, response));
     }
 
     /** Posts a body to a controller and ignores the response. */
@@ -304,18 +297,18 @@
     }
 
     /** Sends a request to a controller; a paused one handles it when it resumes. */
-    private void sendAsync(String node, String method, String path, byte[] body, Consumer<ApiResponse> callback) {
+    private void sendAsync(String node, String method, String path, byte[] body, Consumer<ApiResponse> then) {
         Controller controller = controllers.get(node);
-        controllers.process(node).run(() -> handle(controller, method, path, body, callback));
+        controllers.process(node).run(() -> handle(controller, method, path, body, then));
     }
 
     private static void handle(
-            Controller controller, String method, String path, byte[] body, Consumer<ApiResponse> callback) {
+            Controller controller, String method, String path, byte[] body, Consumer<ApiResponse> then) {
         controller
                 .requestHandler()
                 .handle(
                         new Server.Request(method, path, body),
-                        (status, response, retryAfterSeconds) -> callback.accept(
+                        (status, response, retryAfterSeconds) -> then.accept(
                                 new ApiResponse(status, Json.objectOrEmpty(Json.bytes(response)), retryAfterSeconds)));
     }
 
@@ -331,9 +324,9 @@
 
     /** Polls a job without waiting; the response is checked against the last state reported before the request. */
     public void pollAsync(String node, String id) {
-        String stateBefore = invariants.lastReportedState(id);
+        String before = invariants.lastReportedState(id);
         handle(controllers.get(node), "GET", "/v1/jobs/" + id, new byte[0], response -> {
-            checkResponse(id, stateBefore, response);
+            checkResponse(id, before, response);
             pollResponses++;
         });
     }
@@ -353,8 +346,8 @@
         invariants.addExistingJob(record, done);
     }
 
-    private ApiResponse checkResponse(String id, String stateBefore, ApiResponse response) {
-        return invariants.checkResponse(id, stateBefore, response);
+    private ApiResponse checkResponse(String id, String before, ApiResponse response) {
+        return invariants.checkResponse(id, before, response);
     }
 
     /** Fails when a task of a cancelled job still runs after the time allowed for cancellation. */
