--- a/src/test/java/org/weldcourse/simulation/FakeCloud.java
+++ b/src/test/java/org/weldcourse/simulation/FakeCloud.java
@@ -158,8 +158,8 @@
     }
 
     private void rentMachines(Map<String, Object> body, Server.Reply reply) {
-        String request = Json.text(body, "hire");
-        List<String> names = machinesByRequest.get(request);
+        String requestId = Json.text(body, "hire");
+        List<String> names = machinesByRequest.get(requestId);
         if (names == null) {
             names = new ArrayList<>();
             for (int i = 0; i < Json.integer(body, "number", 0) && machines.size() < capacity; i++) {
@@ -169,7 +169,7 @@
                 reply.send(503, Json.of("error", "no capacity"));
                 return;
             }
-            machinesByRequest.put(request, names);
+            machinesByRequest.put(requestId, names);
         }
         reply.send(200, Json.of("forges", new ArrayList<Object>(names)));
     }
--- a/src/test/java/org/weldcourse/simulation/RandomJob.java
+++ b/src/test/java/org/weldcourse/simulation/RandomJob.java
@@ -9,7 +9,9 @@
 
 /** Generates random jobs: single tasks, arrays, gangs and services of different priorities. */
 public final class RandomJob {
-    private static final int SHAPES = 6;
+    /** Number of equally likely choices of the kind of a job; three of them choose an array. */
+    private static final int KIND_CHOICES = 6;
+
     /** The CPUs of a task are divided by this number for jobs of small tasks. */
     private static final int SMALL_TASK_DIVISOR = 8;
 
@@ -20,7 +22,7 @@
         double cpus = (1.0 + random.nextInt(2)) / (small ? SMALL_TASK_DIVISOR : 1);
         String team = teams.get(random.nextInt(teams.size()));
         Map<String, Object> body = jobBody(id, "crew", team, "cpus", cpus, "mem_gb", 0.1);
-        switch (random.nextInt(SHAPES)) {
+        switch (random.nextInt(KIND_CHOICES)) {
             case 0 -> body.put("beads", 1L);
             case 1 -> {
                 body.put("shape", "service");
