--- a/src/main/java/org/weldcourse/admission/AdmissionQueues.java
+++ b/src/main/java/org/weldcourse/admission/AdmissionQueues.java
@@ -18,9 +18,13 @@
     /** The largest jobs of a class must start within 4 minutes, so they become overdue earlier than the others. */
     private static final long LARGE_OVERDUE_MICROS = 120_000_000;
 
+    /** A job without any booked or finished task is overdue after this wait. */
     private static final long OVERDUE_MICROS = 180_000_000;
+
     private static final int OVERDUE = 0;
+    /** The urgency of a job that has missed no objective; each missed one adds 1. */
     private static final int CAN_MEET_SLO = 1;
+
     private static final int MISSED_SLO = Integer.MAX_VALUE;
 
     private final Map<String, ArrayDeque<QueuedJob>> queues = new LinkedHashMap<>();
@@ -91,8 +95,9 @@
     private record QueuedJob(JobView job, int urgency, int remainingWorkLog2) {
         /**
          * Order among jobs of equal priority: overdue jobs first, then those that can still meet an objective of their
-         * class, then the rest. Jobs that can meet their first objective precede those that can only meet a later one.
-         * Among these, jobs with less remaining work come first, because more jobs then meet their objectives.
+         * class, then the rest. Of the jobs that can meet an objective, those that have missed fewer come first, and
+         * among equals those with less remaining work, because more jobs then meet their objectives. Otherwise the
+         * earlier latest start decides.
          */
         int compareUrgency(QueuedJob other) {
             int byUrgency = Integer.compare(urgency, other.urgency);
@@ -103,7 +108,10 @@
         }
     }
 
-    /** The urgency, where lower is more urgent: overdue, then by the number of missed objectives, then all missed. */
+    /**
+     * The urgency, where lower is more urgent: overdue, then by the number of missed objectives, then all missed. A job
+     * without objectives ranks as one that has missed none.
+     */
     private int urgency(JobView job) {
         boolean large =
                 2 * job.spec().tasks() > maxTasksByClass.getOrDefault(job.spec().jobClass(), 0);
--- a/src/main/java/org/weldcourse/admission/ArrayAdmission.java
+++ b/src/main/java/org/weldcourse/admission/ArrayAdmission.java
@@ -24,7 +24,8 @@
     }
 
     /**
-     * Everything except the resource request that determines on which machines a job may run and what it may preempt.
+     * The properties of a job, apart from its resource request, that determine on which machines it may run and what it
+     * may preempt.
      */
     private record ConstraintKey(
             String team, JobSpec.Priority priority, List<String> types, String zone, boolean spot) {
--- a/src/main/java/org/weldcourse/admission/CapacityDemandEstimator.java
+++ b/src/main/java/org/weldcourse/admission/CapacityDemandEstimator.java
@@ -17,6 +17,7 @@
      */
     private static final double IDLE_GAP_HEARTBEATS = 0.5;
 
+    /** The lower bound of the stated run time; services, which do not end, state it as well. */
     private static final long MIN_RUN_MICROS = 1_000_000;
 
     private final ClusterState cluster;
--- a/src/main/java/org/weldcourse/admission/CycleBookings.java
+++ b/src/main/java/org/weldcourse/admission/CycleBookings.java
@@ -68,16 +68,19 @@
         return feasible;
     }
 
-    /** A machine reserved for a gang may still be used by jobs that the gang can preempt later. */
+    /**
+     * Whether the machine is reserved for a gang and closed to the job. Jobs that the gang can preempt later may still
+     * use it.
+     */
     private boolean isReservedAgainst(FreeCapacity capacity, JobSpec job) {
         JobSpec gang = capacity.reservedFor;
         if (gang == null) {
             return false;
         }
         TeamUsage usage = usages.get(job.team());
-        boolean yields = job.priority().compareTo(gang.priority()) > 0
+        boolean gangCanPreempt = job.priority().compareTo(gang.priority()) > 0
                 && (job.team().equals(gang.team()) || usage == null || !usage.hasCpuGuarantee());
-        return !yields;
+        return !gangCanPreempt;
     }
 
     /** Reserves the machine for a gang that does not fit as a whole yet. */
--- a/src/main/java/org/weldcourse/admission/CycleDecisions.java
+++ b/src/main/java/org/weldcourse/admission/CycleDecisions.java
@@ -11,7 +11,7 @@
  *
  * @param admissions the admissions, at most one per job, in the order in which they are to be written
  * @param preemptions tasks to preempt
- * @param pending tasks that lack capacity or quota; the fleet scales out for the former
+ * @param pending tasks that lack capacity or quota; the fleet scales out for those that lack capacity
  * @param reservedMachines names of machines that the fleet must not scale in: reserved for gangs, or booked beyond the
  *     limit of admissions
  */
@@ -54,7 +54,7 @@
      * @param spec the job
      * @param tasks the number of pending tasks
      * @param blockedByQuota whether the tasks wait for quota, so that scaling out would not help
-     * @param freeSlotsByZone for a gang, the number of its tasks by zone that already fit
+     * @param freeSlotsByZone for a gang, how many of its tasks already fit in each zone
      */
     public record PendingTasks(JobSpec spec, int tasks, boolean blockedByQuota, Map<String, Integer> freeSlotsByZone) {
         PendingTasks(JobSpec spec, int tasks, boolean blockedByQuota) {
--- a/src/main/java/org/weldcourse/admission/FreeCapacity.java
+++ b/src/main/java/org/weldcourse/admission/FreeCapacity.java
@@ -32,7 +32,7 @@
     double memoryGbFreeSoon;
     /** The gang that the machine is reserved for, or null. */
     JobSpec reservedFor;
-    /** The number of replicas of all services. */
+    /** The number of replicas of all services, including those booked in this cycle; terminating ones do not count. */
     int replicas;
     /** Tasks preempted in this cycle; few machines have any, so the set is allocated on demand. */
     Set<TaskView> victims = Set.of();
@@ -69,6 +69,7 @@
         return machine.type().pricePerHour(machine.spot());
     }
 
+    /** The number of replicas of this service that were booked here before this cycle. */
     int replicasOf(JobSpec job) {
         int replicas = 0;
         for (TaskView task : machine.allocation().tasks()) {
--- a/src/main/java/org/weldcourse/admission/GangAdmission.java
+++ b/src/main/java/org/weldcourse/admission/GangAdmission.java
@@ -15,7 +15,7 @@
     private final CycleBookings bookings;
     private final MachinePreemption preemption;
     private final GangReservations reservations;
-    /** The smallest number of tasks that could not be placed in this cycle, by shape. */
+    /** The number of tasks of the smallest gang that could not be placed in this cycle, by shape. */
     private final Map<GangShape, Integer> unplaceable = new HashMap<>();
 
     GangAdmission(CycleBookings bookings, MachinePreemption preemption, long nowMicros) {
--- a/src/main/java/org/weldcourse/admission/GangPlacement.java
+++ b/src/main/java/org/weldcourse/admission/GangPlacement.java
@@ -47,6 +47,7 @@
             }
             if (!preempt) {
                 if (capacity.fits(spec) > 0) {
+                    // The small cost of free CPUs breaks ties in favor of the machines that the tasks fill best.
                     options.add(new PlacementOption(
                             capacity, capacity.fits(spec), List.of(), baseCost + capacity.cpus * 1e-3));
                 }
--- a/src/main/java/org/weldcourse/admission/GangReservations.java
+++ b/src/main/java/org/weldcourse/admission/GangReservations.java
@@ -22,8 +22,7 @@
     private final MachinePreemption preemption;
     private final long nowMicros;
     /**
-     * Shapes for which all machines are reserved already, so that a burst of hundreds of gangs does not scan them
-     * again.
+     * Shapes without a machine left to reserve, so that a burst of hundreds of gangs does not scan all machines again.
      */
     private final Set<GangShape> exhausted = new HashSet<>();
 
@@ -54,7 +53,8 @@
         DomainCapacity best = null;
         for (List<FreeCapacity> domain : domains.values()) {
             DomainCapacity domainCapacity = assess(job, usage, tasks, domain, freeSlotsByZone);
-            // If the gang does not fit on all machines of the domain, reserving them is useless until more are rented.
+            // If all machines of the domain together cannot hold the gang, reserving them is useless until more are
+            // rented.
             boolean worthReserving =
                     domainCapacity.totalSlots >= tasks || waitedMicros > PARTIAL_RESERVATION_AFTER_MICROS;
             if (worthReserving && (best == null || domainCapacity.freeSlots > best.freeSlots)) {
@@ -77,6 +77,7 @@
      */
     private record DomainCapacity(List<Candidate> candidates, int freeSlots, int totalSlots) {}
 
+    /** Counts how many of the gang's tasks a domain can hold, and adds the free slots to {@code freeSlotsByZone}. */
     private DomainCapacity assess(
             JobView job, TeamUsage usage, int tasks, List<FreeCapacity> domain, Map<String, Integer> freeSlotsByZone) {
         boolean claimsGuarantee = preemption.claimsGuarantee(job, usage);
@@ -111,7 +112,12 @@
         }
     }
 
-    /** A machine that may be reserved: whether no task fits on it yet, and when its last task is expected to end. */
+    /**
+     * A machine that may be reserved.
+     *
+     * @param withoutFreeSlot whether no task of the gang fits on it yet, even by preemption
+     * @param freeAtMicros when its last task is expected to end
+     */
     private record Candidate(FreeCapacity capacity, boolean withoutFreeSlot, long freeAtMicros) {
         int compareAvailability(Candidate other) {
             if (withoutFreeSlot != other.withoutFreeSlot) {
--- a/src/main/java/org/weldcourse/admission/GangShape.java
+++ b/src/main/java/org/weldcourse/admission/GangShape.java
@@ -4,8 +4,8 @@
 import org.weldcourse.jobs.JobSpec;
 
 /**
- * Everything except its number of tasks that determines whether a gang can be placed. If one gang cannot, others of the
- * same shape with as many tasks or more are skipped in this cycle.
+ * The properties of a gang, apart from its number of tasks, that determine whether it can be placed. If a gang cannot be
+ * placed, others of the same shape with as many tasks or more are skipped in this cycle.
  */
 record GangShape(
         String team,
--- a/src/main/java/org/weldcourse/admission/JobDeadlines.java
+++ b/src/main/java/org/weldcourse/admission/JobDeadlines.java
@@ -57,7 +57,10 @@
         return deadlines.build().sorted().toArray();
     }
 
-    /** The latest start of a task for the job to be done when it is due; for services, the time of acceptance. */
+    /**
+     * The latest start of a task for the job to be done when it is due. Services have no end, so the time of acceptance
+     * puts them in order of age.
+     */
     long latestStartMicros(Job job) {
         return job.spec().isService() ? job.acceptedMicros() : dueMicros(job) - runTimes.expectedMicros(job);
     }
--- a/src/main/java/org/weldcourse/admission/MachinePreemption.java
+++ b/src/main/java/org/weldcourse/admission/MachinePreemption.java
@@ -19,7 +19,7 @@
     }
 
     /**
-     * A way to place tasks of a job on one machine by preempting tasks there.
+     * A way to place tasks of a job on one machine, if necessary by preempting tasks there.
      *
      * @param tasks how many of the job's tasks fit once the victims have exited, at least 1
      * @param victims the tasks to preempt, in the order in which they were chosen
@@ -37,13 +37,17 @@
                 || capacity.machine.allocation().hasVictimFor(job.spec().priority());
     }
 
+    /**
+     * Whether the smallest unit that can be admitted, a gang's pending tasks or one task, stays within the team's
+     * guarantee, so that the job may preempt tasks of teams that borrow.
+     */
     boolean claimsGuarantee(JobView job, TeamUsage usage) {
         return usage.staysWithinGuarantee(
                 job.spec(), job.spec().isGang() ? job.pending().cardinality() : 1);
     }
 
     /**
-     * How the machine can hold {@code tasks} tasks of the job, or as many as possible, with few victims.
+     * The option to place {@code tasks} tasks of the job on the machine, or as many as possible, with few victims.
      *
      * @param baseCost the cost without victims
      * @return null if no task fits
--- a/src/main/java/org/weldcourse/admission/Planner.java
+++ b/src/main/java/org/weldcourse/admission/Planner.java
@@ -29,7 +29,7 @@
     }
 
     /**
-     * Limits of one cycle: the size of admission records, and how far ahead arrays are booked.
+     * Limits of one cycle: the number and size of admission records, and how far ahead arrays are booked.
      *
      * @param maxTasksPerAdmission the maximum number of tasks in one admission record
      * @param maxAdmissions the maximum number of admissions in one cycle; after the last one, no further task is
@@ -68,7 +68,7 @@
             pendingTasks.add(new CycleDecisions.PendingTasks(job.spec(), wanted, true));
             return;
         }
-        // Reserved quota already counts as used, so it is returned while its own job is being placed.
+        // Reserved quota already counts as used, so it is released while its own job is being placed.
         usage.charge(job.spec(), -job.quotaReservedTasks());
         int stillReserved = Math.max(0, job.quotaReservedTasks() - place(job, usage, wanted));
         usage.charge(job.spec(), stillReserved);
--- a/src/main/java/org/weldcourse/admission/PreemptedByTeam.java
+++ b/src/main/java/org/weldcourse/admission/PreemptedByTeam.java
@@ -5,8 +5,8 @@
 import org.weldcourse.jobs.JobSpec;
 
 /**
- * The resources of the victims chosen so far, by team. A team keeps its guarantee: a further task of a team is
- * preempted only if the team still uses its whole guarantee without it.
+ * The resources of the victims chosen so far, by team. They show whether a further task of a team is borrowed, so that
+ * preempting it leaves the team its whole guarantee.
  */
 final class PreemptedByTeam {
     /** CPUs and GPUs of the chosen victims, by team; the null key stands for teams without settings. */
--- a/src/main/java/org/weldcourse/admission/QuotaPreemption.java
+++ b/src/main/java/org/weldcourse/admission/QuotaPreemption.java
@@ -69,7 +69,8 @@
     }
 
     /**
-     * The tasks to preempt: terminating ones first, then the least work lost. Empty if all candidates do not suffice.
+     * The tasks to preempt: those of the job's own team before those of others, and of each terminating ones first,
+     * then the least work lost. Empty if all candidates do not suffice.
      */
     List<Candidate> choose() {
         Comparator<Candidate> order = Comparator.comparing((Candidate victim) -> !victim.task.terminating())
--- a/src/main/java/org/weldcourse/admission/ReplicaPlacement.java
+++ b/src/main/java/org/weldcourse/admission/ReplicaPlacement.java
@@ -14,7 +14,7 @@
     /** A service's replicas are spread evenly over at least this many machines, if possible. */
     private static final int MACHINES_PER_SERVICE = 3;
 
-    /** A machine that runs at least one in this many of all services' replicas is less preferred than others. */
+    /** Machines that run one part in this number of all services' replicas, or more, are less preferred than others. */
     private static final int MIN_MACHINES_FOR_ALL_REPLICAS = 6;
     /** Below this many replicas on a machine, its share of all replicas does not matter. */
     private static final int FEW_REPLICAS = 6;
@@ -24,9 +24,9 @@
     private ReplicaPlacement() {}
 
     /**
-     * Sorts machines by preference: those that start a replica soonest (stopping a gang takes longest), then those that
-     * run replicas already, then the cheapest per hour. A machine with a single replica cannot be released while its
-     * service runs, so its whole price counts.
+     * Sorts machines by preference: those that start a replica soonest (stopping a gang takes longest), then those below
+     * their share of all replicas, then those that run replicas already, then the cheapest per hour. A machine with a
+     * single replica cannot be released while its service runs, so its whole price counts.
      */
     static void sort(List<FreeCapacity> capacities, JobSpec spec) {
         int totalReplicas = 0;
--- a/src/main/java/org/weldcourse/admission/TeamUsage.java
+++ b/src/main/java/org/weldcourse/admission/TeamUsage.java
@@ -136,7 +136,10 @@
                 && gpus + job.gpus() * tasks <= team.team().gpus() + MachineType.EPSILON;
     }
 
-    /** Whether the team still uses its whole guarantee after losing this amount. */
+    /**
+     * Whether the team still uses its whole guarantee after losing this amount. If it uses fewer GPUs than guaranteed,
+     * it must not lose any.
+     */
     boolean usesGuaranteeWithout(double cpusLess, double gpusLess) {
         return cpus - cpusLess >= team.team().cpus() - MachineType.EPSILON
                 && gpus - gpusLess >= Math.min(gpus, team.team().gpus()) - MachineType.EPSILON;
--- a/src/main/java/org/weldcourse/admission/ZoneBudget.java
+++ b/src/main/java/org/weldcourse/admission/ZoneBudget.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 import org.weldcourse.jobs.JobSpec;
 
-/** How many more tasks of a job may be placed in each zone: all in one zone, spread over zones, or anywhere. */
+/** How many more tasks of a job may be placed in each zone, if it is bound to one zone or spread over zones. */
 final class ZoneBudget {
     private final JobSpec spec;
     private final String onlyZone;
--- a/src/main/java/org/weldcourse/cluster/ClusterState.java
+++ b/src/main/java/org/weldcourse/cluster/ClusterState.java
@@ -20,7 +20,8 @@
     /** A job backs off once its tasks have failed on this many machines. */
     private static final int FAILED_MACHINES_BEFORE_BACKOFF = 3;
 
-    private static final long INITIAL_BACKOFF_MICROS = 5_000_000;
+    /** The backoff of a job with failing tasks, before it is doubled for each error since the last success. */
+    private static final long BASE_BACKOFF_MICROS = 5_000_000;
     /** A job must not wait 90 s while there is free capacity, even if its own tasks fail. */
     private static final long MAX_BACKOFF_MICROS = 60_000_000;
 
@@ -177,7 +178,7 @@
         int errors = job.incrementErrors();
         if (job.excludedMachines().size() >= FAILED_MACHINES_BEFORE_BACKOFF) {
             // Failures on several machines point to the job itself: retry with exponential backoff, on any machine.
-            long backoffMicros = INITIAL_BACKOFF_MICROS << Math.min(10, errors);
+            long backoffMicros = BASE_BACKOFF_MICROS << Math.min(10, errors);
             job.backOffUntil(nowMicros + Math.min(MAX_BACKOFF_MICROS, backoffMicros));
             job.excludedMachines().clear();
         }
@@ -231,7 +232,7 @@
                 machineByPresentTask.put(task.id(), machine);
             }
         }
-        previous.forEach(gone -> machineByPresentTask.remove(gone, machine));
+        previous.forEach(task -> machineByPresentTask.remove(task, machine));
         machine.presentTasks = current;
     }
 
@@ -243,7 +244,7 @@
     /** Removes a machine whose deletion the cloud has confirmed, and releases its bookings. */
     public void removeMachine(Machine machine, long nowMicros) {
         machines.remove(machine.name);
-        machine.presentTasks.forEach(gone -> machineByPresentTask.remove(gone, machine));
+        machine.presentTasks.forEach(task -> machineByPresentTask.remove(task, machine));
         clearUnbookedTasks(machine);
         for (Booking booking : new ArrayList<>(machine.bookings.values())) {
             release(booking, ReleaseReason.MACHINE_SCALED_IN, nowMicros);
--- a/src/main/java/org/weldcourse/cluster/Job.java
+++ b/src/main/java/org/weldcourse/cluster/Job.java
@@ -22,8 +22,8 @@
     private final BitSet done = new BitSet();
     private final BitSet persistedDone = new BitSet();
     /**
-     * Finished tasks that only admission records list, where an earlier version with larger records stored them. The
-     * next admission would be written without them.
+     * Finished tasks that only admission records list, as an earlier version of the scheduler with larger records wrote
+     * them. The next admission record would not contain them.
      */
     private final BitSet doneOnlyInAdmissions = new BitSet();
     /** Tasks that are neither finished nor booked. */
--- a/src/main/java/org/weldcourse/cluster/JobRecords.java
+++ b/src/main/java/org/weldcourse/cluster/JobRecords.java
@@ -65,7 +65,7 @@
         return ++lastWriteNumber;
     }
 
-    /** Whether a write is in flight; the next write needs its outcome. */
+    /** Whether a write is in flight; the next one has to wait for its outcome. */
     public boolean isWriteInFlight() {
         return writeInFlight;
     }
--- a/src/main/java/org/weldcourse/cluster/Machine.java
+++ b/src/main/java/org/weldcourse/cluster/Machine.java
@@ -26,6 +26,7 @@
     /** The zone, or null if not known yet. */
     public String zone;
 
+    /** Whether this is a spot machine, which the cloud may reclaim. */
     public boolean spot;
     /** When the machine was rented, if known; else when this leader first learned of it. */
     public long rentedMicros;
@@ -47,6 +48,7 @@
      */
     public boolean deleting;
 
+    /** Whether the cloud's machine list has shown the machine as failed. */
     public boolean reportedFailed;
     /** Whether the cloud's machine list, which lags, shows the machine as starting. */
     public boolean starting;
--- a/src/main/java/org/weldcourse/cluster/RunTimeEstimator.java
+++ b/src/main/java/org/weldcourse/cluster/RunTimeEstimator.java
@@ -16,6 +16,7 @@
     /** Decay of older samples for each new one, so that the factor follows a change within a few dozen tasks. */
     private static final double DECAY = 0.98;
 
+    /** By job class: the decayed sum of the ratios of observed to estimated run time, and the decayed sample count. */
     private final Map<String, double[]> byClass = new HashMap<>();
 
     /** The assumed run time of service replicas, which do not end by themselves. */
--- a/src/main/java/org/weldcourse/cluster/Snapshot.java
+++ b/src/main/java/org/weldcourse/cluster/Snapshot.java
@@ -90,7 +90,10 @@
             return endMicros >= nowMicros && endMicros <= untilMicros;
         }
 
-        /** Since when work would be lost by stopping the task; a later time means less loss. */
+        /**
+         * Since when work would be lost by stopping the task; a later time means less loss. The latest times stand for
+         * tasks that do not run, which lose nothing, and for those that save a checkpoint.
+         */
         private long unsavedSinceMicros() {
             return !running()
                     ? Long.MAX_VALUE
--- a/src/test/java/org/weldcourse/workers/StartAuthorizationTest.java
+++ b/src/test/java/org/weldcourse/workers/StartAuthorizationTest.java
@@ -140,13 +140,13 @@
     void outstandingRecordIsRestoredAsWritten() throws Exception {
         persistedBooking(0);
         persistedBooking(2);
-        ClusterState next = new ClusterState();
-        Job back = OutstandingRecord.restore(
-                next, Json.objectOrEmpty(Json.bytes(OutstandingRecord.encode(job, 10_000))), 5);
-        assertEquals(ResourceAmount.of(4, 2), next.quotaUsage.bookedBy(TEAM));
-        assertEquals(2, next.getOrAddMachine("m-000001", 5).bookings.size());
-        assertTrue(back.isClosed() && back.booking(2).isStopRequested() && back.allDone());
-        assertNull(back.booking(1));
+        ClusterState restoredCluster = new ClusterState();
+        Job restored = OutstandingRecord.restore(
+                restoredCluster, Json.objectOrEmpty(Json.bytes(OutstandingRecord.encode(job, 10_000))), 5);
+        assertEquals(ResourceAmount.of(4, 2), restoredCluster.quotaUsage.bookedBy(TEAM));
+        assertEquals(2, restoredCluster.getOrAddMachine("m-000001", 5).bookings.size());
+        assertTrue(restored.isClosed() && restored.booking(2).isStopRequested() && restored.allDone());
+        assertNull(restored.booking(1));
     }
 
     /** A job whose record would be too large is closed only once no task of it can be left on a machine. */
--- a/src/test/java/org/weldcourse/workers/WorkerLeaseRenewalBoundTest.java
+++ b/src/test/java/org/weldcourse/workers/WorkerLeaseRenewalBoundTest.java
@@ -25,7 +25,8 @@
         long lastRenewalMicros = readMicros + 35_000_000 - 10_000_000 - WorkerLeaseRenewalBound.MARGIN_MICROS - 1;
         assertTrue(bound.mayRenewLeases(lastRenewalMicros));
         assertFalse(bound.mayRenewLeases(lastRenewalMicros + 1));
-        // A cancellation confirmed at the time of the read takes effect in time even if both clocks drift by 0.05%.
+        // A cancellation confirmed at the time of the read takes effect in time even if both clocks drift by 0.05% in
+        // the unfavorable direction.
         double leaseExpiryMicros = lastRenewalMicros + 10_000_000 * 1.0005;
         assertTrue(leaseExpiryMicros * 1.0005 < readMicros + 35_000_000);
     }
