--- a/src/main/java/org/weldcourse/election/LeaderElection.java
+++ b/src/main/java/org/weldcourse/election/LeaderElection.java
@@ -119,7 +119,8 @@
     }
 
     /**
-     * Handles a peer's report that it is the leader. A higher token means that this node was deposed: it steps down.
+     * Handles a peer's report that it is the leader. A higher token means that this node was deposed without noticing
+     * it: this node steps down.
      */
     public void peerReportsLeadership(long peerFencingToken) {
         if (role == Role.LEADER && peerFencingToken > fencingToken) {
@@ -174,7 +175,7 @@
             }
             if (outcome == Outcome.OK) {
                 leaseExpiryMicros = sentMicros + subtractClockDrift(leaseMicros);
-                // Counted from the send time: a node that reads responses late must not renew its lease later.
+                // Counted from the send time, so that a response that is read late does not delay the next renewal.
                 scheduleStep(Math.max(0, sentMicros + leaseMicros / 4 - clock.nowMicros()));
             } else if (outcome == Outcome.REFUSED || outcome == Outcome.INVALID) {
                 stepDown("lease expired: the store refused its renewal");
--- a/src/main/java/org/weldcourse/leader/HeartbeatHandler.java
+++ b/src/main/java/org/weldcourse/leader/HeartbeatHandler.java
@@ -54,8 +54,8 @@
             reply.refuse(503, "cut off from the state service", 1);
             return;
         }
-        // A delayed heartbeat may come from a machine that no longer exists. A live one sends the current fencing token
-        // with its next heartbeat.
+        // A delayed heartbeat may come from a machine that no longer exists. A machine that still exists sends the
+        // current fencing token with its next heartbeat.
         boolean unknownMachine =
                 heartbeat.fencingToken() != fencingToken && !cluster.machines.containsKey(heartbeat.machine());
         if (!recovery.isComplete() || unknownMachine || autoscaler.isDeleted(heartbeat.machine())) {
--- a/src/main/java/org/weldcourse/leader/JobCompletionHandler.java
+++ b/src/main/java/org/weldcourse/leader/JobCompletionHandler.java
@@ -79,7 +79,7 @@
     private void removeClosed(Job job) {
         cluster.jobs.remove(job.spec().id());
         quotas.jobEnded(job);
-        // The record of outstanding tasks may exist although its last task was released during the write.
+        // The record of outstanding tasks may exist although the job's last booking was released during the write.
         if (!job.bookings().isEmpty() || job.isOutstandingPersisted()) {
             cluster.outstandingJobs.put(job.spec().id(), job);
             cluster.evict(job, 0);
--- a/src/main/java/org/weldcourse/leader/StandbyWarmUp.java
+++ b/src/main/java/org/weldcourse/leader/StandbyWarmUp.java
@@ -114,7 +114,9 @@
     private void sendHeartbeat(int machine, int pass) {
         byte[] body = cluster.heartbeatBody(machine, pass);
         if (connection == null) {
-            handle(SyntheticHeartbeats.request(body), (status, answer, retryAfterSeconds) -> Json.bytes(answer));
+            handle(
+                    SyntheticHeartbeats.request(body),
+                    (status, responseBody, retryAfterSeconds) -> Json.bytes(responseBody));
         } else {
             connection.accept(SyntheticHeartbeats.requestBytes(body));
         }
--- a/src/main/java/org/weldcourse/leader/TaskEviction.java
+++ b/src/main/java/org/weldcourse/leader/TaskEviction.java
@@ -83,13 +83,13 @@
      * whole gang is evicted.
      */
     void evict(Booking booking) {
-        long graceMicros = booking.job().spec().checkpointIntervalMicros() > 0
+        long gracePeriodMicros = booking.job().spec().checkpointIntervalMicros() > 0
                 ? booking.job().spec().checkpointSaveMicros() + CHECKPOINT_SAVE_MARGIN_MICROS
                 : 0;
         if (booking.job().spec().isGang()) {
-            cluster.evict(booking.job(), graceMicros);
+            cluster.evict(booking.job(), gracePeriodMicros);
         } else {
-            booking.requestStop(graceMicros);
+            booking.requestStop(gracePeriodMicros);
         }
     }
 }
--- a/src/main/java/org/weldcourse/persistence/AdmissionRecords.java
+++ b/src/main/java/org/weldcourse/persistence/AdmissionRecords.java
@@ -19,13 +19,14 @@
     private final FencedCommits fenced;
     private final JobRecordCommits commits;
     private final FinishedTaskLayout layout;
-    private final int txnOps;
+    private final int safeTransactionOps;
 
-    AdmissionRecords(FencedCommits fenced, JobRecordCommits commits, FinishedTaskLayout layout, int txnOps) {
+    AdmissionRecords(
+            FencedCommits fenced, JobRecordCommits commits, FinishedTaskLayout layout, int safeTransactionOps) {
         this.fenced = fenced;
         this.commits = commits;
         this.layout = layout;
-        this.txnOps = txnOps;
+        this.safeTransactionOps = safeTransactionOps;
     }
 
     /**
@@ -73,7 +74,7 @@
                 break;
             }
         }
-        if (smallest != null && smallest.size() <= txnOps) {
+        if (smallest != null && smallest.size() <= safeTransactionOps) {
             write(job, fenced.newTransaction(), smallest, callback);
         }
     }
--- a/src/main/java/org/weldcourse/persistence/FencedCommits.java
+++ b/src/main/java/org/weldcourse/persistence/FencedCommits.java
@@ -18,7 +18,7 @@
     /** A longer burst of the leader would use up the budget of one second and leave none to submissions. */
     private static final double BURST_SECONDS = 0.5;
 
-    /** Background writes leave at least the write budget of this time to admissions and the ends of jobs. */
+    /** Background writes leave the write budget of this many seconds to admissions and the ends of jobs. */
     private static final double BACKGROUND_RESERVE_SECONDS = 0.2;
 
     private static final String FENCING_TOKEN_KEY = "epoch";
--- a/src/main/java/org/weldcourse/persistence/FinishedTaskLayout.java
+++ b/src/main/java/org/weldcourse/persistence/FinishedTaskLayout.java
@@ -19,19 +19,19 @@
      */
     private static final int FIRST_CUSTOM_SIZE_SHARD = 100_000;
 
-    private final int valueBytes;
+    private final int safeValueBytes;
     /**
-     * Tasks per shard under the plain limits, as used by versions that don't know lower limits: they compute a shard's
-     * first task from its number.
+     * Tasks per shard under the current limits alone. Versions that don't know the upcoming limits use this size to
+     * compute a shard's first task from its number.
      */
     private final int defaultShardTasks;
 
     private final int shardTasks;
 
     FinishedTaskLayout(Settings.StoreLimits limits) {
-        this.valueBytes = limits.safeValueBytes();
+        this.safeValueBytes = limits.safeValueBytes();
         this.defaultShardTasks = shardTasks(limits.maxValueBytes());
-        this.shardTasks = shardTasks(valueBytes);
+        this.shardTasks = shardTasks(safeValueBytes);
     }
 
     /** The number of tasks whose bits fit into one value as base64, with room for the other fields. */
@@ -43,12 +43,12 @@
      * Whether a job's admission records have room for its finished tasks; those of very large jobs are kept in shards.
      */
     boolean isInAdmissions(Job job) {
-        return FinishedTasksCodec.maxEncodedBytes(job.spec().tasks()) <= valueBytes / 4;
+        return FinishedTasksCodec.maxEncodedBytes(job.spec().tasks()) <= safeValueBytes / 4;
     }
 
     /** The bytes that an admission record of the job can use for admitted tasks. */
     int admissionBytes(Job job) {
-        return valueBytes
+        return safeValueBytes
                 - (isInAdmissions(job)
                         ? FinishedTasksCodec.maxEncodedBytes(job.spec().tasks())
                         : 0);
@@ -60,8 +60,8 @@
     }
 
     /**
-     * Whether versions that don't know lower limits can read the job's shards: either the shard size is the default, or
-     * all tasks are in the first shard, which starts at task 0 whatever its size.
+     * Whether versions that don't know the upcoming limits can read the job's shards: either the shard size is the
+     * default, or all tasks are in the first shard, which starts at task 0 whatever its size.
      */
     boolean earlierVersionsCanRead(Job job) {
         return shardTasks == defaultShardTasks || job.spec().tasks() <= shardTasks;
--- a/src/main/java/org/weldcourse/persistence/FinishedTaskShards.java
+++ b/src/main/java/org/weldcourse/persistence/FinishedTaskShards.java
@@ -12,13 +12,14 @@
     private final FencedCommits fenced;
     private final JobRecordCommits commits;
     private final FinishedTaskLayout layout;
-    private final int txnOps;
+    private final int safeTransactionOps;
 
-    FinishedTaskShards(FencedCommits fenced, JobRecordCommits commits, FinishedTaskLayout layout, int txnOps) {
+    FinishedTaskShards(
+            FencedCommits fenced, JobRecordCommits commits, FinishedTaskLayout layout, int safeTransactionOps) {
         this.fenced = fenced;
         this.commits = commits;
         this.layout = layout;
-        this.txnOps = txnOps;
+        this.safeTransactionOps = safeTransactionOps;
     }
 
     /** Writes the shards whose persisted content is out of date, up to the number that one commit may hold. */
@@ -32,7 +33,7 @@
             int from = shard * shardTasks;
             int to = Math.min(job.spec().tasks(), from + shardTasks);
             BitSet current = toSave.get(from, to);
-            if (records.size() >= txnOps || current.equals(job.persistedDone(from, to))) {
+            if (records.size() >= safeTransactionOps || current.equals(job.persistedDone(from, to))) {
                 toSave.clear(from, to);
                 continue;
             }
--- a/src/main/java/org/weldcourse/persistence/JobCloser.java
+++ b/src/main/java/org/weldcourse/persistence/JobCloser.java
@@ -20,8 +20,8 @@
     private final Timers timers;
     private final FencedCommits fenced;
     private final ConfirmedCommits commits;
-    private final int txnOps;
-    private final int valueBytes;
+    private final int safeTransactionOps;
+    private final int safeValueBytes;
     private final RecordWriter.Listener listener;
 
     JobCloser(
@@ -33,8 +33,8 @@
         this.timers = timers;
         this.fenced = fenced;
         this.commits = commits;
-        this.txnOps = limits.safeTransactionOps();
-        this.valueBytes = limits.safeValueBytes();
+        this.safeTransactionOps = limits.safeTransactionOps();
+        this.safeValueBytes = limits.safeValueBytes();
         this.listener = listener;
     }
 
@@ -47,7 +47,8 @@
         if (job.isClosing() || job.isClosed() || job.records().isWriteInFlight()) {
             return;
         }
-        Map<String, Object> outstanding = job.bookings().isEmpty() ? null : OutstandingRecord.encode(job, valueBytes);
+        Map<String, Object> outstanding =
+                job.bookings().isEmpty() ? null : OutstandingRecord.encode(job, safeValueBytes);
         if (outstanding == null && !job.bookings().isEmpty()) {
             // The record exceeds the store's value size. The job ends once there is evidence that its tasks are gone.
             return;
@@ -94,7 +95,7 @@
             timers.after(DELETE_RETRY_MICROS, () -> deleteInBackground(keys));
             return;
         }
-        int batchSize = Math.min(keys.size(), Math.max(1, txnOps / 2));
+        int batchSize = Math.min(keys.size(), Math.max(1, safeTransactionOps / 2));
         Transaction txn = fenced.newTransaction();
         keys.subList(0, batchSize).forEach(txn::delete);
         List<String> rest = new ArrayList<>(keys.subList(batchSize, keys.size()));
--- a/src/main/java/org/weldcourse/persistence/JobRecordRestorer.java
+++ b/src/main/java/org/weldcourse/persistence/JobRecordRestorer.java
@@ -12,7 +12,7 @@
 public final class JobRecordRestorer {
     private final FinishedTaskLayout layout;
 
-    /** Creates a restorer for records written under these limits, or by versions that know only the plain limits. */
+    /** Creates a restorer for records written under these limits, or by versions that don't know the upcoming ones. */
     public JobRecordRestorer(Settings.StoreLimits limits) {
         this(new FinishedTaskLayout(limits));
     }
--- a/src/main/java/org/weldcourse/persistence/OpenJobsWatch.java
+++ b/src/main/java/org/weldcourse/persistence/OpenJobsWatch.java
@@ -16,13 +16,16 @@
 import org.weldcourse.store.Store.Outcome;
 import org.weldcourse.workers.WorkerLeaseRenewalBound;
 
-/** Reads all records of open jobs first and when the watch fell too far behind, otherwise only their changes. */
+/**
+ * Reads the records of all open jobs at the start of a term, and again whenever the watch has fallen too far behind. In
+ * between, it watches them for changes.
+ */
 final class OpenJobsWatch {
     private static final Logger LOG = LoggerFactory.getLogger(OpenJobsWatch.class);
     static final long RETRY_MICROS = 300_000;
     /**
-     * Timeout of a watch. It is short, since each response proves that all changes up to the send time of the watch are
-     * known, as {@link WorkerLeaseRenewalBound} requires.
+     * Timeout of a watch. Each response proves that all changes up to the time at which the watch was sent are known.
+     * {@link WorkerLeaseRenewalBound} needs this proof often, so the timeout is short.
      */
     private static final long WATCH_TIMEOUT_MICROS = 1_000_000;
 
--- a/src/main/java/org/weldcourse/persistence/UnreadableRecords.java
+++ b/src/main/java/org/weldcourse/persistence/UnreadableRecords.java
@@ -44,7 +44,10 @@
         cluster.quotaUsage.blockForUnreadableJob(teamByJob.get(id));
     }
 
-    /** Adds an unreadable admission of a job. The job is marked as stale: where its tasks run is unknown. */
+    /**
+     * Adds an unreadable admission of a job. The job is marked as stale, so that nothing is decided about it: where its
+     * tasks run is unknown.
+     */
     void addAdmission(Job job, String key, Exception exception) {
         job.markStale();
         jobsWithUnreadableAdmissions.add(job);
--- a/src/main/java/org/weldcourse/workers/BookingReconciler.java
+++ b/src/main/java/org/weldcourse/workers/BookingReconciler.java
@@ -86,9 +86,9 @@
 
     /**
      * Whether the booking of an admitted task that was never listed is released. This includes tasks of a team above
-     * its limit: the store still holds the admission of a task that was preempted under an earlier leader, beside that
-     * of the task which preempted it. Once the worker has forgotten the exit, the preempted task looks as if it had
-     * never been started.
+     * its limit: the store may still hold the admission of a task that was preempted under an earlier leader, beside
+     * that of the task which preempted it. Once the worker has forgotten the exit, the preempted task looks as if it
+     * had never been started.
      */
     private boolean isNoLongerWanted(Booking booking) {
         return booking.isStopRequested()
--- a/src/main/java/org/weldcourse/workers/CommandSelector.java
+++ b/src/main/java/org/weldcourse/workers/CommandSelector.java
@@ -27,7 +27,8 @@
     }
 
     /**
-     * Selects the response to an accepted heartbeat: forgets and stops first, then starts on the remaining capacity.
+     * Selects the commands of the response to an accepted heartbeat: forget and stop commands first, then starts on the
+     * remaining capacity.
      */
     List<WorkerCommand> selectCommands(Machine machine, boolean mayStart, long nowMicros) {
         List<WorkerCommand> commands = new ArrayList<>();
@@ -60,8 +61,8 @@
     }
 
     /**
-     * Adds commands to forget exits that the store holds, so that no leader starts these attempts again. If all exited
-     * tasks may be forgotten, the last one is held back to prompt a heartbeat ({@link #heartbeatPromptCommand}).
+     * Adds commands to forget exited attempts that no leader can start again, as the store's records show. If all
+     * exited tasks may be forgotten, the last one is held back to prompt a heartbeat ({@link #heartbeatPromptCommand}).
      */
     private void addForgets(Machine machine, List<WorkerCommand> commands) {
         List<WorkerCommand> forgets = forgetCommands(machine);
@@ -123,25 +124,25 @@
     /** Tracks the free capacity of a machine while its commands are selected. */
     private static final class FreeCapacity {
         private final MachineType type;
-        private double cpus;
-        private double gpus;
-        private double memoryGb;
+        private double allocatedCpus;
+        private double allocatedGpus;
+        private double allocatedMemoryGb;
 
         FreeCapacity(MachineType type) {
             this.type = type;
         }
 
         void allocate(JobSpec spec) {
-            cpus += spec.cpus();
-            gpus += spec.gpus();
-            memoryGb += spec.memoryGb();
+            allocatedCpus += spec.cpus();
+            allocatedGpus += spec.gpus();
+            allocatedMemoryGb += spec.memoryGb();
         }
 
         boolean fits(JobSpec spec) {
             double tolerance = MachineType.EPSILON;
-            return cpus + spec.cpus() <= type.cpus() + tolerance
-                    && gpus + spec.gpus() <= type.gpus() + tolerance
-                    && memoryGb + spec.memoryGb() <= type.memoryGb() + tolerance;
+            return allocatedCpus + spec.cpus() <= type.cpus() + tolerance
+                    && allocatedGpus + spec.gpus() <= type.gpus() + tolerance
+                    && allocatedMemoryGb + spec.memoryGb() <= type.memoryGb() + tolerance;
         }
     }
 
--- a/src/main/java/org/weldcourse/workers/DirectCommands.java
+++ b/src/main/java/org/weldcourse/workers/DirectCommands.java
@@ -17,17 +17,17 @@
 
     private final ClusterState cluster;
     private final CommandSelector selector;
-    private final HttpClient caller;
+    private final HttpClient httpClient;
     private final long fencingToken;
     private final int maxInFlight;
     private int inFlight;
 
     /** Creates a sender with at most {@code maxInFlight} messages in flight, under this leader's fencing token. */
     public DirectCommands(
-            ClusterState cluster, CommandSelector selector, HttpClient caller, long fencingToken, int maxInFlight) {
+            ClusterState cluster, CommandSelector selector, HttpClient httpClient, long fencingToken, int maxInFlight) {
         this.cluster = cluster;
         this.selector = selector;
-        this.caller = caller;
+        this.httpClient = httpClient;
         this.fencingToken = fencingToken;
         this.maxInFlight = maxInFlight;
     }
@@ -78,7 +78,7 @@
     private void post(Machine machine, List<WorkerCommand> commands) {
         machine.directCommandsInFlight = true;
         inFlight++;
-        caller.call(
+        httpClient.call(
                 new HttpClient.Call(
                         machine.address,
                         "POST",
--- a/src/main/java/org/weldcourse/workers/HeartbeatReconciler.java
+++ b/src/main/java/org/weldcourse/workers/HeartbeatReconciler.java
@@ -9,7 +9,7 @@
 /**
  * Accepts or refuses workers' heartbeats and reconciles the accepted ones with the bookings. A heartbeat is accepted if
  * it is newer than the last one and carries this leader's fencing token. Until the worker has seen that token, commands
- * of an older leader could still reach it and make its heartbeat outdated.
+ * of an older leader could still reach it and change the tasks that its heartbeat listed.
  */
 public final class HeartbeatReconciler {
     private static final Logger LOG = LoggerFactory.getLogger(HeartbeatReconciler.class);
--- a/src/main/java/org/weldcourse/workers/ResponseLossDetector.java
+++ b/src/main/java/org/weldcourse/workers/ResponseLossDetector.java
@@ -25,7 +25,7 @@
     }
 
     /**
-     * Checks whether the start commands of the last response reached the worker, by whether it lists their tasks.
+     * Checks whether the start commands of the last response reached the worker: then its heartbeat lists their tasks.
      *
      * @param startArrived whether at least one of the tasks to start is listed
      */
