--- a/src/main/java/org/weldcourse/jobs/AcceptedJob.java
+++ b/src/main/java/org/weldcourse/jobs/AcceptedJob.java
@@ -24,7 +24,7 @@
     }
 
     /**
-     * Whether only conditions of the reservation failed: its quota budget was taken back, and the job was not accepted
+     * Whether only conditions of the reservation failed: its quota budget was withdrawn, but the job was not accepted
      * before.
      */
     boolean isOnlyReservationOutdated(List<Object> failedKeys) {
@@ -45,7 +45,7 @@
 
     /**
      * The transaction that writes the job's record. It fails if the job was ever accepted before, or if the quota
-     * budget of its reservation was taken back.
+     * budget of its reservation was withdrawn.
      */
     Transaction toTransaction() {
         Transaction txn = new Transaction()
--- a/src/main/java/org/weldcourse/jobs/InvalidJobException.java
+++ b/src/main/java/org/weldcourse/jobs/InvalidJobException.java
@@ -17,7 +17,7 @@
     }
 
     /** The text of the 400 response to the user. */
-    String answer() {
+    String responseText() {
         return "missing or invalid field: " + field;
     }
 }
--- a/src/main/java/org/weldcourse/jobs/JobApi.java
+++ b/src/main/java/org/weldcourse/jobs/JobApi.java
@@ -65,7 +65,7 @@
             JobReplies.malformed(reply, malformed.getMessage());
             return;
         } catch (InvalidJobException invalid) {
-            JobReplies.malformed(reply, invalid.answer());
+            JobReplies.malformed(reply, invalid.responseText());
             return;
         }
         Optional<Reply> boundedReply = requests.begin(reply);
--- a/src/main/java/org/weldcourse/jobs/JobSubmission.java
+++ b/src/main/java/org/weldcourse/jobs/JobSubmission.java
@@ -95,7 +95,7 @@
         });
     }
 
-    /** Handles a failed condition: the reservation's quota budget was taken back, or the job was accepted before. */
+    /** Handles a failed condition: the reservation's quota budget was withdrawn, or the job was accepted before. */
     private void handleConflict(AcceptedJob job, int triesLeft, Commit commit, Reply reply) {
         if (job.hasReservation()) {
             boolean earlierTryMayBeApplied = triesLeft < MAX_TRIES;
--- a/src/main/java/org/weldcourse/jobs/OpenJobsView.java
+++ b/src/main/java/org/weldcourse/jobs/OpenJobsView.java
@@ -66,7 +66,7 @@
         return cancelledByJob.containsKey(id);
     }
 
-    /** Answers after a read that is sent after this call. */
+    /** Runs the callback after a read of the changes that is sent after this call. */
     void query(String id, QueryCallback callback) {
         pendingQueries.add(new Query(id, callback));
         if (!readPending) {
--- a/src/main/java/org/weldcourse/jobs/PrefixMirror.java
+++ b/src/main/java/org/weldcourse/jobs/PrefixMirror.java
@@ -18,7 +18,7 @@
 
     /** Receives changes of keys. */
     interface ChangeListener {
-        /** A key under the prefix has this value now; null if it was deleted. */
+        /** Receives the new value of a key under the prefix, or null if the key was deleted. */
         void accept(String key, Map<String, Object> value);
     }
 
@@ -36,46 +36,46 @@
      * Reads the changes. The outcome is OK after all changes up to this call were passed on, UNKNOWN while another
      * update runs.
      */
-    void update(Consumer<Outcome> then) {
+    void update(Consumer<Outcome> callback) {
         if (updating) {
-            then.accept(Outcome.UNKNOWN);
+            callback.accept(Outcome.UNKNOWN);
             return;
         }
         updating = true;
-        Consumer<Outcome> done = outcome -> {
+        Consumer<Outcome> onFinished = outcome -> {
             updating = false;
-            then.accept(outcome);
+            callback.accept(outcome);
         };
         if (revision == NEVER_READ) {
-            listAll(done);
+            listAll(onFinished);
         } else {
-            readChanges(done);
+            readChanges(onFinished);
         }
     }
 
-    private void readChanges(Consumer<Outcome> done) {
+    private void readChanges(Consumer<Outcome> onFinished) {
         store.changes(prefix, revision, events -> {
             if (events.outcome() == Outcome.REFUSED) {
                 // The changes since this revision were compacted away.
-                listAll(done);
+                listAll(onFinished);
                 return;
             }
             if (events.outcome() == Outcome.OK) {
                 events.events().forEach(event -> listener.accept(event.key(), event.value()));
                 revision = Math.max(revision, events.revision());
             }
-            done.accept(events.outcome());
+            onFinished.accept(events.outcome());
         });
     }
 
-    private void listAll(Consumer<Outcome> done) {
+    private void listAll(Consumer<Outcome> onFinished) {
         store.list(prefix, listing -> {
             if (listing.outcome() == Outcome.OK) {
                 clear.run();
                 listing.entries().forEach(entry -> listener.accept(entry.key(), entry.value()));
                 revision = listing.revision();
             }
-            done.accept(listing.outcome());
+            onFinished.accept(listing.outcome());
         });
     }
 }
--- a/src/main/java/org/weldcourse/peers/PeerConnections.java
+++ b/src/main/java/org/weldcourse/peers/PeerConnections.java
@@ -32,7 +32,7 @@
     private static final long HEARTBEAT_INTERVAL_MICROS = 400_000;
     private static final long IDLE_TIMEOUT_MICROS = 25 * HEARTBEAT_INTERVAL_MICROS;
     private static final int CONNECT_TIMEOUT_MILLIS = 1_000;
-    /** Consecutive refusals, after an established connection, from which the peer's process counts as ended. */
+    /** After this many consecutive refusals, the process of a peer that was connected before counts as ended. */
     private static final int REFUSALS_UNTIL_ENDED = 2;
 
     private static final long RECONNECT_DELAY_MICROS = 150_000;
--- a/src/main/java/org/weldcourse/quota/enforcement/BudgetAllocator.java
+++ b/src/main/java/org/weldcourse/quota/enforcement/BudgetAllocator.java
@@ -102,7 +102,7 @@
                     quota.guards().forEach(txn::ifModRevision);
                     txn.put(key, QuotaRecordCodec.encode(next));
                 },
-                (commit, unclear) -> onWriteResult(next, commit.outcome(), commit.revision()));
+                (commit, afterTimeout) -> onWriteResult(next, commit.outcome(), commit.revision()));
         if (!sent) {
             finishWrite(team);
         }
--- a/src/main/java/org/weldcourse/quota/enforcement/BudgetDivision.java
+++ b/src/main/java/org/weldcourse/quota/enforcement/BudgetDivision.java
@@ -8,7 +8,13 @@
 
 /** Divides a team's available quota among the controllers that accept its jobs. Implementations are pure functions. */
 public interface BudgetDivision {
-    /** A request by a controller process for a number of reservations of the same size. */
+    /**
+     * A request by a controller process for a number of reservations of the same size.
+     *
+     * @param owner the process
+     * @param amount the size of one reservation
+     * @param maxReservations the maximum number of reservations to grant
+     */
     record Request(String owner, ResourceAmount amount, int maxReservations) {}
 
     /** Returns the number of reservations granted to each owner. Together they fit into the available amount. */
--- a/src/main/java/org/weldcourse/quota/enforcement/BudgetPlanner.java
+++ b/src/main/java/org/weldcourse/quota/enforcement/BudgetPlanner.java
@@ -14,6 +14,7 @@
     /** A budget covers a quarter of the jobs in the two demand windows, which is about five seconds of demand. */
     private static final int DEMAND_DIVISOR = 4;
 
+    /** The maximum number of reservations that the budget of one controller process covers. */
     private static final int MAX_RESERVATIONS = 64;
 
     private final BudgetDivision division;
--- a/src/main/java/org/weldcourse/quota/enforcement/LedgerQuotaEnforcement.java
+++ b/src/main/java/org/weldcourse/quota/enforcement/LedgerQuotaEnforcement.java
@@ -89,7 +89,7 @@
 
     /**
      * Reads the ledger up to the leader's election. The previous leader may have granted budgets shortly before its
-     * term ended, so the quota of every team counts as unknown until then. Afterwards only this leader grants budgets.
+     * term ended, so the usage of every team counts as unknown until then. Afterwards only this leader grants budgets.
      */
     private void readLedger() {
         ledger.reload(isRead -> {
--- a/src/main/java/org/weldcourse/quota/enforcement/OverQuotaMonitor.java
+++ b/src/main/java/org/weldcourse/quota/enforcement/OverQuotaMonitor.java
@@ -75,7 +75,7 @@
         return sum;
     }
 
-    /** Visits each team and cohort whose policy matches and whose counted usage exceeds its limit. */
+    /** Visits each team and cohort whose policy matches and whose usage exceeds its limit. */
     private void visitExceeded(
             Predicate<OverQuotaPolicy> policies, Consumer<TeamQuota> onTeam, Consumer<CohortQuota> onCohort) {
         UsageByTeam usage = cluster.quotaUsage::usedBy;
--- a/src/main/java/org/weldcourse/quota/enforcement/QuotaSeeder.java
+++ b/src/main/java/org/weldcourse/quota/enforcement/QuotaSeeder.java
@@ -41,11 +41,14 @@
             }
         }
         if (!missing.isEmpty()) {
-            recorder.writeInBackground(txn -> missing.forEach(quota -> putIfAbsent(txn, quota)), (commit, unclear) -> {
-                LOG.info(
-                        "wrote {} team limits from settings to the quota ledger: {}", missing.size(), commit.outcome());
-                missing.forEach(quota -> ledger.refresh(quota.name(), isRead -> {}));
-            });
+            recorder.writeInBackground(
+                    txn -> missing.forEach(quota -> putIfAbsent(txn, quota)), (commit, afterTimeout) -> {
+                        LOG.info(
+                                "wrote {} team limits from settings to the quota ledger: {}",
+                                missing.size(),
+                                commit.outcome());
+                        missing.forEach(quota -> ledger.refresh(quota.name(), isRead -> {}));
+                    });
         }
     }
 
--- a/src/main/java/org/weldcourse/quota/enforcement/ReservationTracker.java
+++ b/src/main/java/org/weldcourse/quota/enforcement/ReservationTracker.java
@@ -36,7 +36,7 @@
         final TreeMap<Long, Map<String, ResourceAmount>> spent = new TreeMap<>();
 
         EffectiveQuota quota;
-        /** Budgets in a write with an unknown outcome. */
+        /** The budgets of a write in progress, whose outcome is not known yet. */
         Map<String, ResourceAmount> pending = Map.of();
     }
 
--- a/src/main/java/org/weldcourse/quota/ledger/QuotaEdit.java
+++ b/src/main/java/org/weldcourse/quota/ledger/QuotaEdit.java
@@ -28,6 +28,6 @@
     /** Returns the transaction that writes the change. */
     Transaction transaction(LedgerContents contents);
 
-    /** Returns the spec in the output format of the {@code limits} command, which operators' tools parse. */
+    /** Returns the spec as the error message of a concurrent change shows it, in the format of earlier versions. */
     String describe(T spec);
 }
--- a/src/main/java/org/weldcourse/quota/ledger/QuotaEditor.java
+++ b/src/main/java/org/weldcourse/quota/ledger/QuotaEditor.java
@@ -6,8 +6,8 @@
 
 /**
  * Changes quota records on behalf of operators. A new limit is in force as soon as its conditional write succeeds: the
- * write changes the record's version, which invalidates all budgets granted under the old one, so that the store
- * refuses every write that is still based on it.
+ * write changes the record's version, which invalidates all budgets granted under the old one: the store
+ * refuses every write that is still based on the old version.
  *
  * <p>A change to a team in a cohort writes the cohort's record too. Of two concurrent changes that are each valid but
  * not valid together, only one can then succeed.
@@ -33,7 +33,7 @@
             return failure == null;
         }
 
-        /** Returns the stored record. */
+        /** Returns the stored record, or throws the reason for the failure. */
         public T orThrow() throws QuotaLedgerException {
             if (failure != null) {
                 throw failure;
--- a/src/main/java/org/weldcourse/quota/ledger/QuotaRecordCodec.java
+++ b/src/main/java/org/weldcourse/quota/ledger/QuotaRecordCodec.java
@@ -43,7 +43,7 @@
         return key.startsWith(COHORTS);
     }
 
-    /** Encodes a name that is too long for a key or contains characters that a key does not allow. */
+    /** Returns the name itself, or its base64 form if it is long or contains characters that a key does not allow. */
     private static String keyPart(String name) {
         if (name.length() <= MAX_PLAIN_NAME_LENGTH && PLAIN_NAME.matcher(name).matches()) {
             return name;
--- a/src/main/java/org/weldcourse/quota/ledger/SubmissionQuota.java
+++ b/src/main/java/org/weldcourse/quota/ledger/SubmissionQuota.java
@@ -28,6 +28,6 @@
      */
     Grant reserve(String team, ResourceAmount perTask, int tasks);
 
-    /** Returns a reservation to the budget after its write was definitely refused. */
+    /** Gives a reservation back to the budget after its write was definitely refused. */
     void release(String team, ResourceAmount perTask, Reservation reservation);
 }
--- a/src/test/java/org/weldcourse/jobs/JobCodecsTest.java
+++ b/src/test/java/org/weldcourse/jobs/JobCodecsTest.java
@@ -63,7 +63,7 @@
                     InvalidJobException.class,
                     () -> JobSpecCodec.decode(throughJson(JobBodies.jobBody("req-000001", change))));
             assertTrue(invalid.getMessage().contains((String) change[0]), invalid.getMessage());
-            assertEquals("missing or invalid field: " + change[0], invalid.answer());
+            assertEquals("missing or invalid field: " + change[0], invalid.responseText());
         }
     }
 
