--- a/src/main/java/org/weldcourse/app/ControllerMetrics.java
+++ b/src/main/java/org/weldcourse/app/ControllerMetrics.java
@@ -33,13 +33,13 @@
     }
 
     @Override
-    public void reportTeam(String team, ResourceAmount booked, ResourceAmount notBooked, ResourceAmount limit) {
+    public void reportTeam(String team, ResourceAmount booked, ResourceAmount unbooked, ResourceAmount limit) {
         text.addForTeam("team_booked_cpus", "CPUs of the team's bookings.", team, booked.cpus());
         text.addForTeam("team_booked_gpus", "GPUs of the team's bookings.", team, booked.gpus());
         text.addForTeam(
-                "team_unbooked_cpus", "CPUs of the team's tasks that run without a booking.", team, notBooked.cpus());
+                "team_unbooked_cpus", "CPUs of the team's tasks that run without a booking.", team, unbooked.cpus());
         text.addForTeam(
-                "team_unbooked_gpus", "GPUs of the team's tasks that run without a booking.", team, notBooked.gpus());
+                "team_unbooked_gpus", "GPUs of the team's tasks that run without a booking.", team, unbooked.gpus());
         text.addForTeam(
                 "team_limit_cpus",
                 "The team's limit in CPUs; +Inf means no limit.",
--- a/src/main/java/org/weldcourse/app/Node.java
+++ b/src/main/java/org/weldcourse/app/Node.java
@@ -89,8 +89,8 @@
     }
 
     /**
-     * Starts the warm-up of the leader's code, which runs while this node is a standby. Its requests pass through a
-     * server of their own, so that the HTTP code is warmed up too.
+     * Starts the warm-up of the leader's code, which runs in spare time while this node is a standby. Its requests pass
+     * through a server of their own, so that the HTTP code is warmed up too.
      */
     private void startWarmUp() {
         standbyWarmUp = new StandbyWarmUp(settings, timers, timers, () -> !controller.isLeader());
--- a/src/main/java/org/weldcourse/app/Readiness.java
+++ b/src/main/java/org/weldcourse/app/Readiness.java
@@ -37,8 +37,8 @@
     }
 
     /**
-     * Whether the store answers this node's requests; {@link StoreProbeTask} keeps this recent while no others are
-     * sent.
+     * Whether the store answers this node's requests; {@link StoreProbeTask} keeps this up to date while there are no
+     * other requests.
      */
     boolean isStoreReachable() {
         return store.failingSinceMicros() < 0;
--- a/src/main/java/org/weldcourse/app/StoreProbeTask.java
+++ b/src/main/java/org/weldcourse/app/StoreProbeTask.java
@@ -7,7 +7,7 @@
 import org.weldcourse.store.Store;
 
 /**
- * Reads a key after a second without a response from the store, so that a store outage is noticed without other
+ * Reads a key when no store request has completed for a second, so that a store outage is noticed even without other
  * requests.
  */
 final class StoreProbeTask extends ScheduledTask {
--- a/src/main/java/org/weldcourse/fleet/BootTimeouts.java
+++ b/src/main/java/org/weldcourse/fleet/BootTimeouts.java
@@ -4,7 +4,7 @@
 
 /** Timeouts for booting machines, derived from the usual boot time of the machine type. */
 final class BootTimeouts {
-    /** Machines are billed for at least one minute; 2 s less, so that a deletion takes effect within that minute. */
+    /** The minimum billing time of one minute, less 2 s so that a deletion takes effect before the minute ends. */
     static final long MIN_BILLED_MICROS = 58_000_000;
 
     private BootTimeouts() {}
--- a/src/main/java/org/weldcourse/fleet/CapacityDemand.java
+++ b/src/main/java/org/weldcourse/fleet/CapacityDemand.java
@@ -6,7 +6,7 @@
 /**
  * Pending tasks of one job that could not be placed, as input to the scale-out plan.
  *
- * @param tasks the number of waiting tasks; for a gang, the size of the whole attempt
+ * @param tasks the number of waiting tasks; for a gang, all tasks of its attempt
  * @param runMicros the estimated run time of a task
  * @param gapMicros how long a slot stays empty between two consecutive tasks
  * @param deadlineMicros when all tasks should have finished
--- a/src/main/java/org/weldcourse/fleet/CloudClient.java
+++ b/src/main/java/org/weldcourse/fleet/CloudClient.java
@@ -18,12 +18,12 @@
 
     private static final long TIMEOUT_MICROS = 4_000_000;
 
-    private final HttpClient caller;
+    private final HttpClient httpClient;
     private final String address;
 
     /** Creates a client of the cloud API at {@code host:port}. */
-    public CloudClient(HttpClient caller, String address) {
-        this.caller = caller;
+    public CloudClient(HttpClient httpClient, String address) {
+        this.httpClient = httpClient;
         this.address = address;
     }
 
@@ -37,7 +37,7 @@
         RATE_LIMITED,
         /** Any other 503, or not sent: not carried out, because of an outage or a network partition. */
         UNAVAILABLE,
-        /** Timeout: the call may have been carried out, or may still be carried out later. */
+        /** Timeout or lost connection: the call may have been carried out, or may still be carried out later. */
         UNKNOWN,
         /** 400 or an unexpected status: not carried out. */
         INVALID;
@@ -125,6 +125,6 @@
     }
 
     private void send(String method, String path, Map<String, Object> body, HttpClient.Callback callback) {
-        caller.call(new HttpClient.Call(address, method, path, body, TIMEOUT_MICROS), callback);
+        httpClient.call(new HttpClient.Call(address, method, path, body, TIMEOUT_MICROS), callback);
     }
 }
--- a/src/main/java/org/weldcourse/fleet/CloudCodec.java
+++ b/src/main/java/org/weldcourse/fleet/CloudCodec.java
@@ -46,6 +46,7 @@
         return Json.of("forges", machines);
     }
 
+    /** Maps a response to an outcome; status 0 means no response and -1 means that the request was not sent. */
     static Outcome outcome(HttpClient.Response response) {
         return switch (response.status()) {
             case 200 -> Outcome.OK;
--- a/src/main/java/org/weldcourse/fleet/FailoverGracePeriod.java
+++ b/src/main/java/org/weldcourse/fleet/FailoverGracePeriod.java
@@ -23,7 +23,8 @@
     }
 
     /**
-     * Returns whether too many machines have not sent a heartbeat yet.
+     * Returns whether the period still lasts. It ends once the cloud's list was received and nearly all machines have
+     * sent a heartbeat, or else at the failover timeout.
      *
      * @param hasReceivedList whether the cloud's list was received since the election; until then, some machines may be
      *     unknown
--- a/src/main/java/org/weldcourse/fleet/LaunchCandidates.java
+++ b/src/main/java/org/weldcourse/fleet/LaunchCandidates.java
@@ -27,7 +27,7 @@
         this.nowMicros = nowMicros;
     }
 
-    /** An offering and its price per CPU-hour that the demand can use, including the cost of boot time. */
+    /** An offering and its cost per CPU-hour, for the CPUs that the demand can use, including the boot time. */
     record Candidate(Offering offering, MachineType type, double cost) {
         private static final Comparator<Candidate> BY_COST =
                 Comparator.comparingDouble(Candidate::cost).thenComparing(candidate -> candidate.offering.toString());
--- a/src/main/java/org/weldcourse/fleet/MachineInventory.java
+++ b/src/main/java/org/weldcourse/fleet/MachineInventory.java
@@ -27,7 +27,7 @@
     private boolean refreshInFlight;
     private boolean hasReceivedList;
 
-    /** Creates an inventory that wakes the autoscaler after each list and ignores lists received after its term. */
+    /** Creates an inventory that wakes the autoscaler after each list and ignores lists received after the term. */
     MachineInventory(
             ClusterState cluster, CloudClient cloud, MachineTypeCatalog types, Clock clock, ScheduledTask autoscaler) {
         this.cluster = cluster;
--- a/src/main/java/org/weldcourse/fleet/MachineTypeCatalog.java
+++ b/src/main/java/org/weldcourse/fleet/MachineTypeCatalog.java
@@ -22,20 +22,20 @@
 
     private final Store store;
     private final CloudClient cloud;
-    private final BooleanSupplier leads;
+    private final BooleanSupplier isLeader;
     private List<MachineType> types = List.of();
     private boolean refreshInFlight;
 
     /**
      * Creates a catalog that stays empty until it is started and has received the types from the store or the cloud.
      *
-     * @param leads returns whether this node is the leader
+     * @param isLeader returns whether this node is the leader
      */
-    public MachineTypeCatalog(Store store, CloudClient cloud, Clock clock, Timers timers, BooleanSupplier leads) {
+    public MachineTypeCatalog(Store store, CloudClient cloud, Clock clock, Timers timers, BooleanSupplier isLeader) {
         super("types", clock, timers);
         this.store = store;
         this.cloud = cloud;
-        this.leads = leads;
+        this.isLeader = isLeader;
     }
 
     /** Returns the machine types as last received; empty while they are unknown. */
@@ -59,7 +59,7 @@
             return -1;
         }
         refreshInFlight = true;
-        if (leads.getAsBoolean()) {
+        if (isLeader.getAsBoolean()) {
             refreshFromCloud();
         } else {
             refreshFromRecord();
@@ -89,7 +89,7 @@
     private void refreshFromCloud() {
         cloud.machineTypes(response -> {
             if (response.types().isEmpty()) {
-                if (types.isEmpty() && leads.getAsBoolean()) {
+                if (types.isEmpty() && isLeader.getAsBoolean()) {
                     readRecord(() -> refreshAgainIn(RETRY_MICROS));
                 } else {
                     refreshAgainIn(RETRY_MICROS);
--- a/src/main/java/org/weldcourse/fleet/ScaleInPolicy.java
+++ b/src/main/java/org/weldcourse/fleet/ScaleInPolicy.java
@@ -12,7 +12,9 @@
  * evidence that their tasks have ended. {@link ScaleIn} handles idle machines.
  */
 final class ScaleInPolicy {
+    /** Time after the announced reclaim before a silent machine counts as reclaimed. */
     private static final long RECLAIM_MARGIN_MICROS = 1_000_000;
+    /** Minimum number of jobs with failed tasks for a machine to count as faulty. */
     private static final int FAULTY_MACHINE_FAILED_JOBS = 2;
 
     private final ClusterState cluster;
--- a/src/main/java/org/weldcourse/fleet/ScaleOutPlanner.java
+++ b/src/main/java/org/weldcourse/fleet/ScaleOutPlanner.java
@@ -68,7 +68,7 @@
     /**
      * Plans slots for a gang or for service replicas. A single-zone gang gets them in the zone where the missing slots
      * cost the least. Free slots on running machines count only for the choice of the zone: other jobs may take them
-     * before the new machines have booted. Array tasks soon use any surplus machines, at no higher cost.
+     * before the new machines have booted. Surplus machines are soon used by array tasks, at no higher cost.
      */
     private void planSlots(CapacityDemand demand) {
         if (!demand.job().singleZone()) {
--- a/src/main/java/org/weldcourse/http/HttpClient.java
+++ b/src/main/java/org/weldcourse/http/HttpClient.java
@@ -44,7 +44,7 @@
      * @param body the JSON object of the body, empty if the body is not a JSON object
      */
     record Response(int status, Map<String, Object> body) {
-        /** No response arrived in time; the server may have executed the request, or may still execute it. */
+        /** The request was sent but timed out or lost its connection; it may have been or may still be executed. */
         public static final Response NO_RESPONSE = new Response(0, Map.of());
         /** The request was not sent, for example because the connection could not be opened. */
         public static final Response NOT_SENT = new Response(-1, Map.of());
--- a/src/main/java/org/weldcourse/runtime/ScheduledTask.java
+++ b/src/main/java/org/weldcourse/runtime/ScheduledTask.java
@@ -42,7 +42,7 @@
 
     /**
      * The length of the pause after each step, as a multiple of the step's duration and at most 2 seconds. The pause
-     * leaves CPU time for lease renewals, heartbeats and user requests, also where steps are slow. A factor of 0 means
+     * leaves CPU time for lease renewals, heartbeats and user requests, even when steps are slow. A factor of 0 means
      * no pause, for tasks whose steps must run when they are due.
      */
     protected int pauseFactor() {
@@ -116,7 +116,7 @@
         pausedUntilMicros =
                 finishedMicros + Math.min(MAX_PAUSE_MICROS, pauseFactor() * (finishedMicros - startedMicros));
         if (nextTimer != null && dueMicros < pausedUntilMicros) {
-            // The step scheduled the next one at a time within the pause: postpone it to the end of the pause.
+            // The step scheduled the next one within the pause: postpone it to the end of the pause.
             nextTimer.cancel();
             nextTimer = null;
             wakeIn(0);
--- a/src/main/java/org/weldcourse/settings/OperatorSettings.java
+++ b/src/main/java/org/weldcourse/settings/OperatorSettings.java
@@ -15,10 +15,10 @@
  * each setting, with durations in seconds. Settings that the file leaves out keep their defaults.
  *
  * @param leaderLeaseMicros the time to live of the leader's lease in the store ({@code state-lease-s})
- * @param scaleInDelayMicros how long a spot machine stays idle before it is released; other machines are released after
+ * @param scaleInDelayMicros how long a spot machine stays idle before it is deleted; other machines are deleted after
  *     a third of this time ({@code idle-hold-s})
- * @param warmPoolSize the number of machines kept ready for each job class with a start time objective
- *     ({@code warm-machines})
+ * @param warmPoolSize the number of machines kept ready for each job class with a start-time objective and for
+ *     each class of services ({@code warm-machines})
  * @param warmPoolRetentionMicros how long the warm pool of a job class is kept after its last job
  *     ({@code warm-hold-s})
  * @param teamLimitSource where team limits come from ({@code team-limits})
--- a/src/main/java/org/weldcourse/settings/Settings.java
+++ b/src/main/java/org/weldcourse/settings/Settings.java
@@ -3,7 +3,14 @@
 import java.util.List;
 import java.util.Optional;
 
-/** The settings from the platform's file. Amounts keep the units of the file; durations are in microseconds. */
+/**
+ * The settings from the platform's file. Amounts keep the units of the file; durations are in microseconds.
+ *
+ * @param listenAddress where this node listens for users and workers, as {@code host:port}
+ * @param peerAddress where this node listens for other controllers, as {@code host:port}
+ * @param peers the other controllers of the cluster
+ * @param maxSockets the maximum number of open sockets, inbound and outbound
+ */
 public record Settings(
         String nodeName,
         String zone,
@@ -25,7 +32,7 @@
     /** Another controller of the cluster. */
     public record Peer(String name, String zone, String address) {}
 
-    /** The quota of a team: its guarantee, and its limit, where positive infinity means no limit. */
+    /** A team's quota: guarantee ({@code cpus}, {@code gpus}) and limit (positive infinity means no limit). */
     public record Team(String name, double cpus, double cpusMax, double gpus, double gpusMax) {
         /** Creates a team; a limit of 0, as in the settings file, means no limit. */
         public Team {
--- a/src/main/java/org/weldcourse/store/RetryingCommit.java
+++ b/src/main/java/org/weldcourse/store/RetryingCommit.java
@@ -6,8 +6,8 @@
 
 /**
  * Retries a transaction every 250 ms until the store returns a definite outcome ({@link Outcome#OK},
- * {@link Outcome#REFUSED} or {@link Outcome#INVALID}). A commit that timed out may have been applied, or may be applied
- * later; retrying the same transaction is safe because its compare conditions can hold only once.
+ * {@link Outcome#REFUSED} or {@link Outcome#INVALID}). A commit without a response may have been applied, or
+ * may be applied later; retrying the same transaction is safe because its compare conditions can hold only once.
  */
 public final class RetryingCommit {
     private static final long RETRY_MICROS = 250_000;
@@ -24,8 +24,8 @@
         /**
          * Called once.
          *
-         * @param afterTimeout whether an earlier attempt timed out. That attempt may have been applied and be
-         *     the cause of {@link Outcome#REFUSED}; the keys must be read back to find out.
+         * @param afterTimeout whether an earlier attempt timed out or lost its connection. That attempt may have been
+         *     applied and be the cause of {@link Outcome#REFUSED}; the keys must be read back to find out.
          */
         void accept(Store.Commit commit, boolean afterTimeout);
     }
--- a/src/main/java/org/weldcourse/store/Store.java
+++ b/src/main/java/org/weldcourse/store/Store.java
@@ -15,15 +15,15 @@
 public final class Store {
     private static final long TIMEOUT_MICROS = 1_500_000;
 
-    private final HttpClient caller;
+    private final HttpClient httpClient;
     private final Clock clock;
     private final String address;
     private long failingSinceMicros = -1;
     private long lastCompletedMicros;
 
     /** Creates a client of the store at {@code host:port}. */
-    public Store(HttpClient caller, Clock clock, String address) {
-        this.caller = caller;
+    public Store(HttpClient httpClient, Clock clock, String address) {
+        this.httpClient = httpClient;
         this.clock = clock;
         this.address = address;
     }
@@ -44,7 +44,7 @@
         RATE_LIMITED,
         /** 503, or not sent: not applied, because of an outage or a network partition. */
         UNAVAILABLE,
-        /** Timeout: the request may have been applied, or may still be applied later. */
+        /** Timeout or lost connection: the request may have been applied, or may still be applied later. */
         UNKNOWN,
         /**
          * 400 or an unexpected status: not applied. The request is malformed, or it attaches a key to an expired lease
@@ -207,7 +207,7 @@
 
     /** Sends a request and tracks the store's availability: a 503, a timeout or a connection error is a failure. */
     private void send(HttpClient.Call call, HttpClient.Callback callback) {
-        caller.call(call, response -> {
+        httpClient.call(call, response -> {
             int status = response.status();
             lastCompletedMicros = clock.nowMicros();
             if (status > 0 && status != 503) {
