--- a/src/test/java/org/weldcourse/app/ServicesTest.java
+++ b/src/test/java/org/weldcourse/app/ServicesTest.java
@@ -41,11 +41,16 @@
         }
         cluster.clock.passSeconds(7);
         cluster.runMicros.put(ID, Long.MAX_VALUE);
-        assertEquals(201, cluster.submit("n0", serviceBody(changes)).status());
+        assertEquals(201, submitStatus(cluster, serviceBody(changes)));
         awaitReplicas(cluster, 4, 4);
         return cluster;
     }
 
+    /** Submits a job to the first controller and returns the HTTP status. */
+    private static int submitStatus(SimulatedCluster cluster, Map<String, Object> job) {
+        return cluster.submit("n0", job).status();
+    }
+
     private static void awaitReplicas(SimulatedCluster cluster, int expected, double seconds) {
         for (int i = 0; i < seconds * 10 && runningReplicas(cluster).size() < expected; i++) {
             cluster.clock.pass(100_000);
@@ -165,15 +170,12 @@
     void silentMachineWithReplicasIsReleasedEarly() {
         SimulatedCluster cluster = clusterWithService(1);
         FakeWorker worker = cluster.workerOf(ID + "/0");
+        String machine = worker.machine().name();
         worker.freeze(true);
-        for (int i = 0;
-                i < 83 && !cluster.cloud.released.contains(worker.machine().name());
-                i++) {
+        for (int i = 0; i < 83 && !cluster.cloud.released.contains(machine); i++) {
             cluster.clock.pass(100_000);
         }
-        assertTrue(
-                cluster.cloud.released.contains(worker.machine().name()),
-                "its release proves that the replica is gone");
+        assertTrue(cluster.cloud.released.contains(machine), "its release proves that the replica is gone");
         awaitReplicas(cluster, 4, 2);
     }
 
@@ -202,8 +204,7 @@
         SimulatedCluster cluster = clusterWithService(3, "apart", true);
         for (String zone : List.of("b", "a", "b")) {
             Set<String> lost = machinesOfReplicas(cluster);
-            lost.removeIf(
-                    machine -> !cluster.workers.get(machine).machine().zone().equals(zone));
+            lost.removeIf(name -> !cluster.workers.get(name).machine().zone().equals(zone));
             assertFalse(lost.isEmpty());
             freezeMachinesIn(cluster, zone);
             cluster.clock.passSeconds(12);
@@ -222,18 +223,14 @@
         cluster.runMicros.put("req-000003", Long.MAX_VALUE);
         Map<String, Object> second = serviceBody("name_id", "req-000002", "crew", "capped");
         Map<String, Object> third = serviceBody("name_id", "req-000003", "crew", "capped", "beads", 3);
-        assertEquals(201, cluster.submit("n0", second).status());
+        assertEquals(201, submitStatus(cluster, second));
         cluster.clock.passSeconds(4);
         assertEquals(8, cluster.runningTasks());
-        assertEquals(201, cluster.submit("n0", third).status());
-        assertEquals(
-                201,
-                cluster.submit("n0", jobBody("req-000004", "rank", "urgent", "crew", "capped"))
-                        .status());
+        assertEquals(201, submitStatus(cluster, third));
+        assertEquals(201, submitStatus(cluster, jobBody("req-000004", "rank", "urgent", "crew", "capped")));
         // Cancels the first service while its machines are unreachable and the cloud can't confirm that they are gone.
         cluster.cloud.down(true);
-        machinesOfReplicas(cluster)
-                .forEach(machine -> cluster.workers.get(machine).freeze(true));
+        machinesOfReplicas(cluster).forEach(name -> cluster.workers.get(name).freeze(true));
         if (leaderIsKilled) {
             cluster.killNode(cluster.leader());
         }
@@ -262,15 +259,11 @@
         cluster.cloud.capacity = 1;
         cluster.clock.passSeconds(7);
         cluster.runMicros.put(ID, Long.MAX_VALUE);
-        assertEquals(
-                201, cluster.submit("n0", serviceBody("beads", 8, "cpus", 2.0)).status());
+        assertEquals(201, submitStatus(cluster, serviceBody("beads", 8, "cpus", 2.0)));
         cluster.clock.passSeconds(4);
         assertEquals(8, runningReplicas(cluster).size(), "the machine is full");
         cluster.runMicros.put("req-000002", 300_000_000L);
-        assertEquals(
-                201,
-                cluster.submit("n0", jobBody("req-000002", "crew", "owner", "rank", "idle", "beads", 4))
-                        .status());
+        assertEquals(201, submitStatus(cluster, jobBody("req-000002", "crew", "owner", "rank", "idle", "beads", 4)));
         cluster.clock.passSeconds(8);
         assertEquals(4, runningReplicas(cluster).size());
         assertEquals(8, cluster.runningTasks(), "the team gets its guarantee regardless of priority");
@@ -283,7 +276,7 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {0, 150_000, 400_000, 1_200_000})
-    void admissionWithALateAnswerIsNotLostFromTheRecord(long answerLateMicros) {
+    void admissionWithALateAnswerIsNotLostFromTheRecord(long delayMicros) {
         SimulatedCluster cluster = SimulatedCluster.settled(2);
         cluster.cloud.addUnrequested("large", "a", false);
         cluster.cloud.capacity = 1;
@@ -295,12 +288,10 @@
         cluster.network.injectFaults((from, call) -> {
             boolean admits = call.path().equals("/commit")
                     && new String(Json.bytes(call.body()), StandardCharsets.UTF_8).contains("\"write\":\"slices/" + ID);
-            return admits && admissions[0]++ == 0
-                    ? FakeNetwork.responseDelayedBy(answerLateMicros)
-                    : FakeNetwork.NORMAL;
+            return admits && admissions[0]++ == 0 ? FakeNetwork.responseDelayedBy(delayMicros) : FakeNetwork.NORMAL;
         });
         cluster.runMicros.put(ID, Long.MAX_VALUE);
-        assertEquals(201, cluster.submit("n0", serviceBody()).status());
+        assertEquals(201, submitStatus(cluster, serviceBody()));
         awaitReplicas(cluster, 4, 8);
         assertEquals(1, admissions[0], "one admission covers replicas on free capacity and those that preempt");
         cluster.killNode(cluster.leader());
@@ -340,7 +331,7 @@
         cluster.clock.passSeconds(90);
         assertTrue(totalStarts(cluster) > 8, cluster.starts.toString());
         assertEquals("running", cluster.poll("n1", ID).state());
-        assertEquals(200, cluster.submit("n0", serviceBody()).status());
+        assertEquals(200, submitStatus(cluster, serviceBody()));
         cluster.killNode(cluster.leader());
         cluster.clock.passSeconds(12);
         assertNotEquals("done", cluster.poll(cluster.leader(), ID).state());
@@ -358,7 +349,7 @@
     void replicaThatKeepsEndingIsRetriedWithBackoff(long runMicros) {
         SimulatedCluster cluster = SimulatedCluster.settled(1);
         cluster.runMicros.put(ID, runMicros);
-        assertEquals(201, cluster.submit("n0", serviceBody("beads", 1)).status());
+        assertEquals(201, submitStatus(cluster, serviceBody("beads", 1)));
         cluster.clock.passSeconds(150);
         assertTrue(cluster.starts.get(ID + "/0") < 16, cluster.starts.toString());
         assertEquals(200, cluster.poll("n0", ID).status());
@@ -398,15 +389,11 @@
     @Test
     void serviceLargerThanItsTeamLimitIsRejected() {
         SimulatedCluster cluster = SimulatedCluster.settled(1);
-        assertEquals(
-                422,
-                cluster.submit("n0", serviceBody("crew", "capped", "beads", 9)).status());
-        assertEquals(422, cluster.submit("n0", serviceBody("cpus", 17.0)).status());
-        assertEquals(400, cluster.submit("n0", serviceBody("expected_s", -1.0)).status());
-        assertEquals(400, cluster.submit("n0", serviceBody("shape", "daemon")).status());
+        assertEquals(422, submitStatus(cluster, serviceBody("crew", "capped", "beads", 9)));
+        assertEquals(422, submitStatus(cluster, serviceBody("cpus", 17.0)));
+        assertEquals(400, submitStatus(cluster, serviceBody("expected_s", -1.0)));
+        assertEquals(400, submitStatus(cluster, serviceBody("shape", "daemon")));
         assertEquals(404, cluster.poll("n0", ID).status());
-        assertEquals(
-                201,
-                cluster.submit("n0", serviceBody("crew", "capped", "beads", 8)).status());
+        assertEquals(201, submitStatus(cluster, serviceBody("crew", "capped", "beads", 8)));
     }
 }
