--- a/src/main/java/org/weldcourse/quota/enforcement/QuotaSeeder.java
+++ b/src/main/java/org/weldcourse/quota/enforcement/QuotaSeeder.java
@@ -44,7 +44,7 @@
             recorder.writeInBackground(
                     txn -> missing.forEach(quota -> putIfAbsent(txn, quota)), (commit, afterTimeout) -> {
                         LOG.info(
-                                "wrote {} team limits from settings to the quota ledger: {}",
+                                "writing {} team limits from settings to the quota ledger: {}",
                                 missing.size(),
                                 commit.outcome());
                         missing.forEach(quota -> ledger.refresh(quota.name(), isRead -> {}));
