--- a/src/test/java/org/weldcourse/quota/QuotaChangesTest.java
+++ b/src/test/java/org/weldcourse/quota/QuotaChangesTest.java
@@ -202,7 +202,7 @@
         assertEquals(1, results.stream().filter(QuotaEditor.Result::isChanged).count(), results.toString());
     }
 
-    /** The message that reports another operator's change must keep its format, because operators' tools parse it. */
+    /** The message that reports another operator's change keeps the format of earlier versions. */
     @Test
     void concurrentChangeReportsTheStoredSpec() {
         List<QuotaEditor.Result<TeamQuota>> results = new ArrayList<>();
