--- a/src/main/java/org/weldcourse/leader/StandbyWarmUp.java
+++ b/src/main/java/org/weldcourse/leader/StandbyWarmUp.java
@@ -52,9 +52,9 @@
     }
 
     /** Acknowledges a store request as the real store would, but synchronously, and stores nothing. */
-    private static void acknowledge(HttpClient.Call call, HttpClient.Callback done) {
+    private static void acknowledge(HttpClient.Call call, HttpClient.Callback callback) {
         byte[] body = call.body() == null ? new byte[0] : Json.bytes(call.body());
-        done.accept(new HttpClient.Response(200, body.length == 0 ? Map.of() : Json.of("ledger", 1L)));
+        callback.accept(new HttpClient.Response(200, body.length == 0 ? Map.of() : Json.of("ledger", 1L)));
     }
 
     /**
--- a/src/main/java/org/weldcourse/quota/enforcement/BudgetAllocator.java
+++ b/src/main/java/org/weldcourse/quota/enforcement/BudgetAllocator.java
@@ -25,7 +25,7 @@
     private final QuotaLedger ledger;
     private final ReservationTracker reservations;
     private final BudgetPlanner planner;
-    private final RecordWriter recorder;
+    private final RecordWriter recordWriter;
     private final Timers timers;
     private final Runnable onBudgetsWritten;
     /** Teams whose demand or quota changed since the last division of their budgets. */
@@ -43,14 +43,14 @@
             QuotaLedger ledger,
             ReservationTracker reservations,
             BudgetPlanner planner,
-            RecordWriter recorder,
+            RecordWriter recordWriter,
             Timers timers,
             Runnable onBudgetsWritten) {
         this.timers = timers;
         this.ledger = ledger;
         this.reservations = reservations;
         this.planner = planner;
-        this.recorder = recorder;
+        this.recordWriter = recordWriter;
         this.onBudgetsWritten = onBudgetsWritten;
     }
 
@@ -97,7 +97,7 @@
         TeamQuota next = quota.team().withBudgets(budgets, cohortVersion);
         reservations.setPendingBudgets(team, budgets);
         teamsBeingWritten.add(team);
-        boolean sent = recorder.writeInBackground(
+        boolean sent = recordWriter.writeInBackground(
                 txn -> {
                     quota.guards().forEach(txn::ifModRevision);
                     txn.put(key, QuotaRecordCodec.encode(next));
--- a/src/main/java/org/weldcourse/quota/enforcement/LedgerQuotaEnforcement.java
+++ b/src/main/java/org/weldcourse/quota/enforcement/LedgerQuotaEnforcement.java
@@ -64,7 +64,7 @@
             Settings settings,
             QuotaLedger ledger,
             BudgetPlanner planner,
-            RecordWriter recorder,
+            RecordWriter recordWriter,
             Timers timers,
             long fencingTokenVersion,
             TermCallbacks callbacks) {
@@ -75,8 +75,9 @@
         this.ledger = ledger;
         this.callbacks = callbacks;
         this.monitor = new OverQuotaMonitor(cluster, settings, ledger);
-        this.budgets = new BudgetAllocator(ledger, reservations, planner, recorder, timers, callbacks::quotaChanged);
-        this.seeder = new QuotaSeeder(settings, ledger, recorder);
+        this.budgets =
+                new BudgetAllocator(ledger, reservations, planner, recordWriter, timers, callbacks::quotaChanged);
+        this.seeder = new QuotaSeeder(settings, ledger, recordWriter);
         this.snapshot = takeSnapshot();
     }
 
--- a/src/main/java/org/weldcourse/quota/enforcement/QuotaSeeder.java
+++ b/src/main/java/org/weldcourse/quota/enforcement/QuotaSeeder.java
@@ -18,13 +18,13 @@
 
     private final Settings settings;
     private final QuotaLedger ledger;
-    private final RecordWriter recorder;
+    private final RecordWriter recordWriter;
     private long nextSeedMicros;
 
-    QuotaSeeder(Settings settings, QuotaLedger ledger, RecordWriter recorder) {
+    QuotaSeeder(Settings settings, QuotaLedger ledger, RecordWriter recordWriter) {
         this.settings = settings;
         this.ledger = ledger;
-        this.recorder = recorder;
+        this.recordWriter = recordWriter;
     }
 
     /** Writes missing records, at most once per second and as many as fit one transaction. */
@@ -41,7 +41,7 @@
             }
         }
         if (!missing.isEmpty()) {
-            recorder.writeInBackground(
+            recordWriter.writeInBackground(
                     txn -> missing.forEach(quota -> putIfAbsent(txn, quota)), (commit, afterTimeout) -> {
                         LOG.info(
                                 "writing {} team limits from settings to the quota ledger: {}",
--- a/src/test/java/org/weldcourse/simulation/SimulatedCluster.java
+++ b/src/test/java/org/weldcourse/simulation/SimulatedCluster.java
@@ -276,12 +276,13 @@
                 request(node, "POST", "/v1/jobs/" + id + "/withdraw", new byte[0]));
     }
 
-    /** Submits a job and passes the response to {@code then}, without waiting for it. */
-    public void submitAsync(String node, Map<String, Object> job, Consumer<ApiResponse> then) {
+    /** Submits a job and passes the response to {@code callback}, without waiting for it. */
+    public void submitAsync(String node, Map<String, Object> job, Consumer<ApiResponse> callback) {
         String id = Json.text(job, "name_id");
         String before = invariants.lastReportedState(id);
         jobs.put(id, Json.objectOrEmpty(Json.bytes(job)));
-        sendAsync(node, "POST", "/v1/jobs", Json.bytes(job), reply -> then.accept(checkResponse(id, before, reply)));
+        sendAsync(
+                node, "POST", "/v1/jobs", Json.bytes(job), reply -> callback.accept(checkResponse(id, before, reply)));
     }
 
     /** Cancels a job without waiting for the response, which is checked when it arrives. */
@@ -297,18 +298,18 @@
     }
 
     /** Sends a request to a controller; a paused one handles it when it resumes. */
-    private void sendAsync(String node, String method, String path, byte[] body, Consumer<ApiResponse> then) {
+    private void sendAsync(String node, String method, String path, byte[] body, Consumer<ApiResponse> callback) {
         Controller controller = controllers.get(node);
-        controllers.process(node).run(() -> handle(controller, method, path, body, then));
+        controllers.process(node).run(() -> handle(controller, method, path, body, callback));
     }
 
     private static void handle(
-            Controller controller, String method, String path, byte[] body, Consumer<ApiResponse> then) {
+            Controller controller, String method, String path, byte[] body, Consumer<ApiResponse> callback) {
         controller
                 .requestHandler()
                 .handle(
                         new Server.Request(method, path, body),
-                        (status, response, retryAfterSeconds) -> then.accept(
+                        (status, response, retryAfterSeconds) -> callback.accept(
                                 new ApiResponse(status, Json.objectOrEmpty(Json.bytes(response)), retryAfterSeconds)));
     }
 
