--- a/src/main/java/org/weldcourse/fleet/Autoscaler.java
+++ b/src/main/java/org/weldcourse/fleet/Autoscaler.java
@@ -37,7 +37,7 @@
     /** The leader's term during which the autoscaler runs. */
     public interface Term {
         /** Returns whether the leader lease is valid; without it the autoscaler does nothing. */
-        boolean leaseHolds();
+        boolean isLeaseValid();
 
         /** Called when the cloud confirms the deletion of machines, so that their tasks can be placed elsewhere. */
         void machinesDeleted();
@@ -98,7 +98,7 @@
     }
 
     /** Records a job; job classes with a start-time objective get a warm pool. */
-    public void jobSeen(JobSpec job) {
+    public void jobLoaded(JobSpec job) {
         warmPools.jobSeen(job, clock.nowMicros());
     }
 
@@ -125,7 +125,7 @@
     @Override
     protected long step() {
         long nowMicros = clock.nowMicros();
-        if (types.known().isEmpty() || !term.leaseHolds()) {
+        if (types.known().isEmpty() || !term.isLeaseValid()) {
             // A partitioned former leader receives no heartbeats and must not delete its successor's machines.
             return STEP_MICROS / 2;
         }
--- a/src/main/java/org/weldcourse/leader/LeaderTerm.java
+++ b/src/main/java/org/weldcourse/leader/LeaderTerm.java
@@ -199,8 +199,8 @@
         }
 
         @Override
-        public void jobSeen(JobSpec job) {
-            autoscaler.jobSeen(job);
+        public void jobLoaded(JobSpec job) {
+            autoscaler.jobLoaded(job);
         }
 
         @Override
@@ -212,7 +212,7 @@
     /** Tells the autoscaler whether this leader's lease is valid, and handles the deletion of machines. */
     private final class AutoscalerTermAdapter implements Autoscaler.Term {
         @Override
-        public boolean leaseHolds() {
+        public boolean isLeaseValid() {
             return dependencies.election().isLeaseValid();
         }
 
--- a/src/main/java/org/weldcourse/persistence/OpenJobsWatch.java
+++ b/src/main/java/org/weldcourse/persistence/OpenJobsWatch.java
@@ -206,7 +206,7 @@
                 return;
             }
             cluster.jobs.put(id, job);
-            listener.jobSeen(job.spec());
+            listener.jobLoaded(job.spec());
             quotas.jobLoaded(job, value);
         }
         if (revision >= job.records().jobRevision() && !job.isClosed()) {
--- a/src/main/java/org/weldcourse/persistence/RecordReader.java
+++ b/src/main/java/org/weldcourse/persistence/RecordReader.java
@@ -25,7 +25,7 @@
         void recordsLoaded(int records, long revision);
 
         /** A new open job was read. */
-        void jobSeen(JobSpec job);
+        void jobLoaded(JobSpec job);
 
         /** Open jobs changed in a way that the next admission cycle may act on. */
         void jobsChanged();
