--- a/src/main/java/org/weldcourse/quota/enforcement/BudgetPlanner.java
+++ b/src/main/java/org/weldcourse/quota/enforcement/BudgetPlanner.java
@@ -25,7 +25,7 @@
     }
 
     /**
-     * What the leader knows about one team.
+     * The quota state of one team, as known to the leader.
      *
      * @param headroom the quota that the limits leave, counting the team's own budgets as free
      * @param hasWaitingJobs whether a job waits for the limit
--- a/src/main/java/org/weldcourse/settings/Settings.java
+++ b/src/main/java/org/weldcourse/settings/Settings.java
@@ -52,7 +52,7 @@
      */
     public record ServiceLevelObjective(
             Kind kind, String jobClass, long withinMicros, double targetShare, double deadlineFactor) {
-        /** What the objective measures. */
+        /** The criterion by which a job meets the objective. */
         public enum Kind {
             /** The time from submission until tasks run. */
             START("wait"),
--- a/src/test/java/org/weldcourse/soak/FaultInjector.java
+++ b/src/test/java/org/weldcourse/soak/FaultInjector.java
@@ -28,7 +28,7 @@
     private final PriorityQueue<Recovery> recoveries =
             new PriorityQueue<>(Comparator.comparingLong(Recovery::atMillis));
 
-    /** What ends a fault, and when it is due. */
+    /** A scheduled action that ends a fault. */
     private record Recovery(long atMillis, Action action) {}
 
     /** An action on the thread of the run. */
