--- a/src/test/java/org/weldcourse/app/IsolatedLeaderTest.java
+++ b/src/test/java/org/weldcourse/app/IsolatedLeaderTest.java
@@ -91,8 +91,7 @@
         cluster.clock.pass(500_000);
         scenario.cancelThrough(scenario.peerOf(oldLeader), id);
         // The old leader's workers keep their tasks through the outage of 19 s. The new leader holds the leader lease,
-        // but
-        // cannot read the jobs.
+        // but cannot read the jobs.
         cluster.store.down(true);
         cluster.clock.passSeconds(19);
         cluster.store.down(false);
--- a/src/test/java/org/weldcourse/app/RepeatedFailoverTest.java
+++ b/src/test/java/org/weldcourse/app/RepeatedFailoverTest.java
@@ -26,8 +26,7 @@
         FailureScenario scenario = scenario(2);
         SimulatedCluster cluster = scenario.cluster;
         // A worker keeps one finished task listed to prompt heartbeats. Two tasks end early, so that it could forget
-        // one
-        // of them too soon.
+        // one of them too soon.
         String id = scenario.submit(25, "beads", 4);
         cluster.runMicros.put(id + "/0", 2_000_000L);
         cluster.runMicros.put(id + "/1", 2_000_000L);
